--- a/chestnuthall/core/fanout/__init__.py
+++ b/chestnuthall/core/fanout/__init__.py
@@ -1,4 +1,4 @@
-"""The state machine of one query over its shards."""
+"""State machine of one query over the shards of its partition map."""
 
 from chestnuthall.core.fanout._events import (
     Action,
--- a/chestnuthall/core/fanout/_events.py
+++ b/chestnuthall/core/fanout/_events.py
@@ -1,4 +1,4 @@
-"""Events that a fan-out takes and actions that it returns."""
+"""Input events and output actions of the fan-out state machine."""
 
 from dataclasses import dataclass
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Begin(Event):
-    """The query was admitted and its map is pinned."""
+    """The query was admitted and its partition map is pinned."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,19 +45,19 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired(Event):
-    """The timer that was set last ran out."""
+    """The most recently set timer expired."""
 
 
 @dataclass(frozen=True, slots=True)
 class MapReplaced(Event):
-    """The answer to ``Replan``: another map to pin, or None if there is none."""
+    """Result of ``Replan``: another map to pin, or None if there is none."""
 
     partition_map: PartitionMap | None
 
 
 @dataclass(frozen=True, slots=True)
 class Warned(Event):
-    """The answer to ``Warn``: the peers that can be reached know."""
+    """Result of ``Warn``: all reachable peers were notified."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,25 +93,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Replan(Action):
-    """Ask for a map of another snapshot than the ones that are gone."""
+    """Request a map whose snapshot is none of the unavailable ones."""
 
     gone_snapshot_ids: tuple[int, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Warn(Action):
-    """Tell the peers of a suspected request before a second replica runs it."""
+    """Notify the peers of a suspected request before a second replica runs it."""
 
     fingerprint: str
 
 
 @dataclass(frozen=True, slots=True)
 class Completion:
-    """The outcome of a fan-out; ``failure`` is None for an answer.
+    """Outcome of a fan-out; ``failure`` is None on success.
 
-    ``run`` says whether any replica ran the request. ``reply`` is what the
-    caller of a relayed request gets, and ``parts`` what it was made of.
-    ``decisions`` tell how the outcome came about, in order.
+    ``run`` states whether any replica ran the request. ``reply`` is the reply
+    to the caller of a relayed request, and ``parts`` are the shard replies from
+    which it was merged. ``decisions`` lists the decisions that led to the
+    outcome, in chronological order.
     """
 
     failure: Failure | None
@@ -127,6 +128,6 @@
 
 @dataclass(frozen=True, slots=True)
 class Complete(Action):
-    """End the query; calls that still run have been cancelled."""
+    """End the query; all calls still in flight have been cancelled."""
 
     completion: Completion
--- a/chestnuthall/core/fanout/_handlers.py
+++ b/chestnuthall/core/fanout/_handlers.py
@@ -1,4 +1,4 @@
-"""What each event does to a fan-out, registered per type of event."""
+"""Event handlers of the fan-out state machine, dispatched on the event type."""
 
 from functools import singledispatch
 
@@ -45,43 +45,44 @@
 
 @singledispatch
 def apply_event(event: Event, state: FanOutState) -> list[Action]:
-    """Apply one event; registered per type of event."""
+    """Apply one event and return the resulting actions."""
     raise TypeError(f"not an event: {type(event).__name__}")
 
 
 @apply_event.register
 def _(event: Begin, state: FanOutState) -> list[Action]:
-    # The probe of a suspected request is one call to one replica.
+    # The probe of a suspected request is one call to one replica, so its shards
+    # must not be bundled into sets.
     may_bundle = not state.is_suspected(event.now_ms)
     state.plan(state.partition_map, may_bundle)
     context = state.context
-    shard_ids = state.own_shard_ids()
+    shard_ids = state.direct_shard_ids()
     context.budget.earn(shard_ids, context.utilisation_ratio, event.now_ms)
-    return _begin_plan(state, event.now_ms)
+    return _start_calls(state, event.now_ms)
 
 
-def _begin_plan(state: FanOutState, now_ms: float) -> list[Action]:
+def _start_calls(state: FanOutState, now_ms: float) -> list[Action]:
     if state.is_suspected(now_ms):
-        return probes.begin_suspected(state, now_ms)
+        return probes.defer_all(state, now_ms)
     return state.dispatch_all(now_ms)
 
 
 @apply_event.register
 def _(event: CallAnswered, state: FanOutState) -> list[Action]:
-    taken = state.take_running(event.call_id)
-    if taken is None:
+    found = state.pop_running(event.call_id)
+    if found is None:
         state.n_discarded += 1
         return []
-    progress, running = taken
+    progress, running = found
     answer = event.answer
-    if not _echoes(answer, running.call):
+    if not _matches_call(answer, running.call):
         state.n_discarded += 1
-        failure = CALL_MISMATCH.because("the answer does not echo its call")
-        return _on_failed(state, progress, running, failure, event.now_ms)
+        failure = CALL_MISMATCH.because("the answer has the ids of another call")
+        return _handle_failure(state, progress, running, failure, event.now_ms)
     if answer.is_error:
         failure = UPSTREAM_ERROR.because("the replica answered with an error")
         state.error_reply = answer.reply
-        return _on_failed(state, progress, running, failure, event.now_ms)
+        return _handle_failure(state, progress, running, failure, event.now_ms)
     state.context.router.on_answered(
         running.call.replica,
         running.started_ms,
@@ -90,8 +91,8 @@
         work=state.work_of(progress),
     )
     elapsed_ms = event.now_ms - running.started_ms
-    _take_answer(state, progress, answer, elapsed_ms)
-    state.note(
+    _record_answer(state, progress, answer, elapsed_ms)
+    state.record_decision(
         DecisionEvent.CALL_ANSWERED,
         event.now_ms,
         answer.shard_id,
@@ -100,24 +101,24 @@
         None if answer.reply is None else answer.reply.status,
     )
     actions = state.cancel_running(progress, event.now_ms)
-    if running.is_probe or progress.has_lost:
-        # Another replica of the shard ran the request and lives.
+    if running.is_probe or progress.has_lost_replica:
+        # Another replica of the shard ran the request and survived.
         actions += probes.on_probe_answered(state, event.now_ms)
     return actions
 
 
-def _take_answer(
+def _record_answer(
     state: FanOutState, progress: ShardProgress, answer: ShardAnswer, latency_ms: float
 ) -> None:
     progress.answer = answer
-    progress.is_held = False
+    progress.is_deferred = False
     state.n_answered += 1
     if latency_ms >= state.slowest_shard_ms:
         state.slowest_shard_id = answer.shard_id
         state.slowest_shard_ms = latency_ms
 
 
-def _echoes(answer: ShardAnswer, call: ShardCall) -> bool:
+def _matches_call(answer: ShardAnswer, call: ShardCall) -> bool:
     return (
         answer.call_id == call.call_id
         and answer.shard_id == call.shard_id
@@ -127,15 +128,15 @@
 
 @apply_event.register
 def _(event: CallFailed, state: FanOutState) -> list[Action]:
-    taken = state.take_running(event.call_id)
-    if taken is None:
+    found = state.pop_running(event.call_id)
+    if found is None:
         state.n_discarded += 1
         return []
-    progress, running = taken
-    return _on_failed(state, progress, running, event.failure, event.now_ms)
+    progress, running = found
+    return _handle_failure(state, progress, running, event.failure, event.now_ms)
 
 
-def _on_failed(
+def _handle_failure(
     state: FanOutState,
     progress: ShardProgress,
     running: RunningCall,
@@ -146,8 +147,8 @@
     if failure.kind in NOT_STARTED_KINDS:
         state.n_not_started += 1
     if failure.kind in NOT_SENT_KINDS:
-        progress.sent_names.discard(running.call.replica.name)
-    state.note(
+        progress.contacted_names.discard(running.call.replica.name)
+    state.record_decision(
         DecisionEvent.CALL_FAILED,
         now_ms,
         running.call.shard_id,
@@ -156,25 +157,25 @@
         failure.kind.name,
         failure.reason,
     )
-    _note_failure(state, progress, running, failure, now_ms)
+    _report_failure(state, progress, running, failure, now_ms)
     if progress.running:
         return []
     if not _may_retry(state, progress, failure, now_ms):
         state.give_up(progress, "no attempt left", now_ms)
-        # Held shards do not wait for a probe that will not come any more.
-        return probes.settle_held(state, now_ms) if running.is_probe else []
-    if failure.kind is SNAPSHOT_GONE and not _is_held_elsewhere(
+        # Deferred shards must not wait for a probe that will not be repeated.
+        return probes.resolve_deferred(state, now_ms) if running.is_probe else []
+    if failure.kind is SNAPSHOT_GONE and not _has_untried_replica_with_snapshot(
         state, progress, now_ms
     ):
-        return _begin_replan(state, progress)
+        return _request_replan(state, progress)
     if running.is_probe and state.is_suspected(now_ms):
-        return probes.on_probe_not_run(state, progress, now_ms)
+        return probes.retry_probe(state, progress, now_ms)
     if state.is_suspected(now_ms):
-        return probes.hold(state, progress, now_ms)
+        return probes.defer(state, progress, now_ms)
     return _retry(state, progress, failure, now_ms)
 
 
-def _note_failure(
+def _report_failure(
     state: FanOutState,
     progress: ShardProgress,
     running: RunningCall,
@@ -182,11 +183,11 @@
     now_ms: float,
 ) -> None:
     context = state.context
-    # A peer that ends is no sign of a request that crashes replicas.
-    is_lost = failure.kind is CONNECTION_LOST and not progress.shard.members
-    is_explained = is_lost and state.is_suspected(now_ms)
-    if is_lost:
-        progress.has_lost = True
+    # A peer that terminates does not indicate that the request crashes replicas.
+    is_replica_loss = failure.kind is CONNECTION_LOST and not progress.shard.members
+    is_explained = is_replica_loss and state.is_suspected(now_ms)
+    if is_replica_loss:
+        progress.has_lost_replica = True
         context.quarantine.record_loss(
             state.request.fingerprint,
             running.call.replica,
@@ -212,8 +213,8 @@
     request = state.request
     if now_ms >= request.deadline_ms or progress.n_attempts >= N_ATTEMPTS_MAX:
         return False
-    # A peer that may have begun a set has called replicas, which count against the
-    # bound of the request.
+    # A peer that may have started a shard set may have called its replicas, and
+    # those calls count towards the replica limit of the request.
     is_repeatable = is_idempotent(request) and not progress.shard.members
     if not is_repeatable and failure.kind not in NOT_STARTED_KINDS:
         return False
@@ -223,11 +224,12 @@
 def _retry(
     state: FanOutState, progress: ShardProgress, failure: Failure, now_ms: float
 ) -> list[Action]:
-    # A call of which nothing was written, or that a replica refused for its
-    # snapshot, put no work on any upstream; only other retries are extra load.
+    # A call that was never written, or that a replica refused because of its
+    # snapshot, caused no work at an upstream; only other retries are extra load.
     is_free = failure.kind in NOT_SENT_KINDS or failure.kind is SNAPSHOT_GONE
     is_free = is_free or bool(progress.shard.members)
-    # An upstream that sheds has no room, so its calls wait for earned credit.
+    # An upstream that sheds load has no spare capacity, so its retries may use
+    # only accumulated credit.
     may_overdraw = failure.kind is not SHED_BY_UPSTREAM
     budget = state.context.budget
     shard_id = progress.shard.shard_id
@@ -241,7 +243,7 @@
     return state.try_dispatch(progress, now_ms)
 
 
-def _is_held_elsewhere(
+def _has_untried_replica_with_snapshot(
     state: FanOutState, progress: ShardProgress, now_ms: float
 ) -> bool:
     router = state.context.router
@@ -253,8 +255,8 @@
     )
 
 
-def _begin_replan(state: FanOutState, progress: ShardProgress) -> list[Action]:
-    """Ask for another map; the other shards run on in case there is none."""
+def _request_replan(state: FanOutState, progress: ShardProgress) -> list[Action]:
+    """Request another map; calls of other shards continue in case there is none."""
     progress.is_given_up = True
     if state.is_replanning or not state.may_replan():
         return []
@@ -266,21 +268,24 @@
 @apply_event.register
 def _(event: MapReplaced, state: FanOutState) -> list[Action]:
     state.is_replanning = False
-    another = event.partition_map
-    if another is None or not _is_better(state, another, event.now_ms):
-        return probes.settle_held(state, event.now_ms)
+    new_map = event.partition_map
+    if new_map is None or not _should_switch_map(state, new_map, event.now_ms):
+        return probes.resolve_deferred(state, event.now_ms)
     actions = state.cancel_all(event.now_ms)
     if state.probe_step is ProbeStep.RUNNING:
         state.probe_step = ProbeStep.NONE
-    state.plan(another)
-    return actions + _begin_plan(state, event.now_ms)
+    state.plan(new_map)
+    return actions + _start_calls(state, event.now_ms)
 
 
-def _is_better(state: FanOutState, another: PartitionMap, now_ms: float) -> bool:
-    """Return whether another snapshot promises more than what is merged.
+def _should_switch_map(
+    state: FanOutState, new_map: PartitionMap, now_ms: float
+) -> bool:
+    """Return whether the new map is expected to give a better answer.
 
-    A snapshot that is still being loaded, or a deadline too close to start
-    over, would turn a good partial answer into a worse one.
+    When the current answer already reaches the coverage floor, starting over on
+    a snapshot that replicas are still loading, or too close to the deadline,
+    would replace a good partial answer by a worse one.
     """
     floor = state.context.caller_class.coverage_floor_ratio
     ratio = state.coverage().ratio
@@ -290,12 +295,12 @@
     remaining_ms = state.request.deadline_ms - now_ms
     if remaining_ms < router.hedge_delay_ms():
         return False
-    shards = target_shards(state.request, another)
+    shards = target_shards(state.request, new_map)
     n_total = sum(shard.n_documents for shard in shards)
     n_reachable = sum(
         shard.n_documents
         for shard in shards
-        if any(router.holds(r, another.snapshot_id, now_ms) for r in shard.replicas)
+        if any(router.holds(r, new_map.snapshot_id, now_ms) for r in shard.replicas)
     )
     return n_reachable > ratio * n_total
 
@@ -309,8 +314,8 @@
         retry_at_ms = progress.retry_at_ms
         if retry_at_ms is not None and event.now_ms >= retry_at_ms:
             actions += _retry_now(state, progress, event.now_ms)
-    if probes.held_shards(state):
-        actions += probes.settle_held(state, event.now_ms)
+    if probes.deferred_shards(state):
+        actions += probes.resolve_deferred(state, event.now_ms)
     return actions + hedge_due_shards(state, event.now_ms)
 
 
@@ -319,7 +324,7 @@
 ) -> list[Action]:
     if state.is_suspected(now_ms):
         progress.retry_at_ms = None
-        return probes.hold(state, progress, now_ms)
+        return probes.defer(state, progress, now_ms)
     return state.try_dispatch(progress, now_ms)
 
 
@@ -330,4 +335,4 @@
 
 @apply_event.register
 def _(event: VerdictGiven, state: FanOutState) -> list[Action]:
-    return probes.settle_held(state, event.now_ms)
+    return probes.resolve_deferred(state, event.now_ms)
--- a/chestnuthall/core/fanout/_hedges.py
+++ b/chestnuthall/core/fanout/_hedges.py
@@ -1,62 +1,63 @@
-"""Second calls of shards that are slow to answer."""
+"""Hedging: a second call to a shard whose first call is slow."""
 
 from dataclasses import dataclass
 
 from chestnuthall.core.fanout._events import Action
 from chestnuthall.core.fanout._progress import RunningCall, ShardProgress
 from chestnuthall.core.fanout._state import FanOutState
-from chestnuthall.core.fanout._targets import open_shard
+from chestnuthall.core.fanout._targets import with_eligible_replicas
 from chestnuthall.core.model import DecisionEvent, is_idempotent
 
-# A hedge that finds no free slot or no credit is considered again after this
-# time. The call that stays slow longest is the one worth a hedge most.
+# Delay before a hedge that found no free slot or no credit is considered again.
+# It is not dropped, since the longer a call stays slow, the more it needs a hedge.
 HEDGE_RETRY_MS = 5.0
-# Time that a call is given at least, as a multiple of the usual one.
-USUAL_FACTOR = 1.8
+# Minimum age of a call before it is hedged, as a multiple of the typical latency.
+MIN_AGE_FACTOR = 1.8
 
 
 @dataclass(frozen=True, slots=True)
 class HedgeTiming:
-    """When the calls of one query are hedged.
+    """Hedge schedule for the calls of one query.
 
-    A call is hedged ``delay_ms`` after its start, but not later than
-    ``latest_ms``, from which on a second call would miss the soft deadline. It
-    always has ``usual_ms`` first.
+    A call is hedged ``delay_ms`` after its start, but not later than at
+    ``latest_ms``, after which a second call would miss the soft deadline. A call
+    younger than ``min_age_ms`` is never hedged, even after ``latest_ms``.
     """
 
     delay_ms: float
-    usual_ms: float
+    min_age_ms: float
     latest_ms: float
 
     def due_ms(self, started_ms: float) -> float:
-        """Return when a call is due for a hedge.
+        """Return the time at which a call is due for a hedge.
 
         Examples
         --------
-        >>> timing = HedgeTiming(delay_ms=60.0, usual_ms=15.0, latest_ms=40.0)
+        >>> timing = HedgeTiming(delay_ms=60.0, min_age_ms=15.0, latest_ms=40.0)
         >>> timing.due_ms(0.0), timing.due_ms(35.0)
         (40.0, 50.0)
         """
         due_ms = min(started_ms + self.delay_ms, self.latest_ms)
-        return max(due_ms, started_ms + self.usual_ms)
+        return max(due_ms, started_ms + self.min_age_ms)
 
 
-def timing_of(state: FanOutState) -> HedgeTiming:
-    """Return the timing for the calls of a query, from what the router learnt."""
+def hedge_timing(state: FanOutState) -> HedgeTiming:
+    """Return the hedge timing of a query from the router's latency statistics."""
     router = state.context.router
     work = state.context.work
     delay_ms = router.hedge_delay_ms(work)
     soft_ms = state.context.caller_class.soft_deadline_ms
     if soft_ms is None or not work:
         return HedgeTiming(delay_ms, 0.0, float("inf"))
-    usual_ms = USUAL_FACTOR * router.typical_ms(work)
-    latest_ms = state.request.arrived_ms + soft_ms - usual_ms
-    return HedgeTiming(delay_ms, usual_ms, latest_ms)
+    min_age_ms = MIN_AGE_FACTOR * router.typical_ms(work)
+    # A second call gets as much time to answer as the first one got at least.
+    latest_ms = state.request.arrived_ms + soft_ms - min_age_ms
+    return HedgeTiming(delay_ms, min_age_ms, latest_ms)
 
 
 def hedge_due_ms(progress: ShardProgress, timing: HedgeTiming) -> float | None:
-    """Return when a hedge of the shard is to be considered, or None for never."""
-    oldest = progress.oldest
+    """Return when to consider a hedge of the shard, or None for never."""
+    oldest = progress.oldest_call
     if oldest is None or not _may_hedge(progress):
         return None
     return max(timing.due_ms(oldest.started_ms), progress.hedge_not_before_ms)
@@ -72,17 +73,17 @@
 
 
 def hedge_due_shards(state: FanOutState, now_ms: float) -> list[Action]:
-    """Start the hedges that are due, the longest running calls first.
+    """Start the hedges that are due, oldest calls first.
 
-    A suspected request is not hedged: it runs on one replica at a time.
+    A suspected request is not hedged, as it may run on only one replica at a time.
     """
     if state.is_suspected(now_ms) or not is_idempotent(state.request):
         return []
-    timing = timing_of(state)
+    timing = hedge_timing(state)
     due = []
     for progress in state.shards.values():
         due_ms = hedge_due_ms(progress, timing)
-        oldest = progress.oldest
+        oldest = progress.oldest_call
         if oldest is not None and due_ms is not None and due_ms <= now_ms:
             due.append((oldest, progress))
     due.sort(key=lambda item: item[0].started_ms)
@@ -97,12 +98,12 @@
 ) -> list[Action]:
     """Start a second call if a replica has a free slot and the budget allows it.
 
-    The shard counts as hedged only once the call is made. Otherwise one moment
-    without a slot or credit would leave a straggler without its hedge.
+    The shard counts as hedged only once the second call has started. Otherwise a
+    brief lack of slots or credit would leave a straggler without a hedge.
     """
     progress.hedge_not_before_ms = now_ms + HEDGE_RETRY_MS
     replica = state.context.router.choose(
-        open_shard(state.request, progress),
+        with_eligible_replicas(state.request, progress),
         state.partition_map.snapshot_id,
         progress.tried_names,
         now_ms,
@@ -112,24 +113,32 @@
     age_ms = now_ms - oldest.started_ms
     shard_id = progress.shard.shard_id
     if replica is None:
-        _note_withheld(state, progress, "no replica with a free slot", age_ms, now_ms)
+        _record_withheld_hedge(
+            state, progress, "no replica with a free slot", age_ms, now_ms
+        )
         return []
     delay_ms = state.context.router.hedge_delay_ms(state.context.work)
     lateness_ratio = age_ms / delay_ms
     if not state.context.budget.try_take_hedge(shard_id, now_ms, lateness_ratio):
-        _note_withheld(state, progress, "budget", age_ms, now_ms)
+        _record_withheld_hedge(state, progress, "budget", age_ms, now_ms)
         return []
     progress.is_hedged = True
     state.n_hedges += 1
     return [state.start(progress, replica, now_ms, "hedge")]
 
 
-def _note_withheld(
-    state: FanOutState, progress: ShardProgress, why: str, age_ms: float, now_ms: float
+def _record_withheld_hedge(
+    state: FanOutState,
+    progress: ShardProgress,
+    reason: str,
+    age_ms: float,
+    now_ms: float,
 ) -> None:
-    """Keep the first reason for a shard's missing hedge; later ones repeat it."""
+    """Record the first reason why a shard was not hedged; later ones repeat it."""
     if progress.is_hedge_withheld:
         return
     progress.is_hedge_withheld = True
     shard_id = progress.shard.shard_id
-    state.note(DecisionEvent.HEDGE_WITHHELD, now_ms, shard_id, why, age_ms)
+    state.record_decision(
+        DecisionEvent.HEDGE_WITHHELD, now_ms, shard_id, reason, age_ms
+    )
--- a/chestnuthall/core/fanout/_machine.py
+++ b/chestnuthall/core/fanout/_machine.py
@@ -1,4 +1,4 @@
-"""The state machine of one query: events in, actions out."""
+"""State machine of one query, which maps events to actions."""
 
 from chestnuthall.core.fanout._events import (
     Action,
@@ -8,43 +8,45 @@
     SetTimer,
 )
 from chestnuthall.core.fanout._handlers import apply_event
-from chestnuthall.core.fanout._hedges import hedge_due_ms, timing_of
+from chestnuthall.core.fanout._hedges import hedge_due_ms, hedge_timing
 from chestnuthall.core.fanout._outcome import completion_of
-from chestnuthall.core.fanout._probes import held_shards
+from chestnuthall.core.fanout._probes import deferred_shards
 from chestnuthall.core.fanout._state import FanOutState
 from chestnuthall.core.model import DecisionEvent, is_idempotent
 
-# An event loop may fire a timer early by its clock's resolution. Without this
-# distance the same timer would be set again for the same instant.
-TIMER_DISTANCE_MIN_MS = 0.05
-# How often a held query looks whether the reservation of the probe has lapsed.
-HELD_CHECK_MS = 10.0
+# Minimum interval between now and the next timer. An event loop may fire a timer
+# early by up to its clock resolution; without a minimum, the same timer would be
+# set again for the same instant.
+TIMER_INTERVAL_MIN_MS = 0.05
+# Minimum interval at which a query with deferred shards checks whether another
+# query's reservation of the probe has expired.
+DEFERRED_CHECK_INTERVAL_MS = 10.0
 
 
 class FanOut(FanOutState):
     """One query over the shards of a pinned partition map.
 
-    The machine takes events and returns actions. It never reads a clock and
-    never waits; after a ``Complete`` it returns no further actions.
+    The machine receives events and returns actions. It neither reads a clock nor
+    blocks; after a ``Complete`` it returns no further actions.
     """
 
     def handle(self, event: Event) -> list[Action]:
-        """Apply one event and return what is to be done."""
+        """Apply one event and return the actions to perform."""
         if self.is_complete:
             return []
         actions = apply_event(event, self)
-        # An answer that starts nothing moves no due time forward, and a timer
-        # that fires early is harmless. Setting it anew for each answer would
-        # cost a pass over all shards each time.
-        is_plain_answer = isinstance(event, CallAnswered) and not actions
-        return actions + self._settle(event.now_ms, is_plain_answer)
+        # An answer that triggers no action makes nothing due earlier, and a timer
+        # that fires too early is harmless. Resetting the timer on every answer
+        # would cost a pass over all shards each time.
+        may_keep_timer = isinstance(event, CallAnswered) and not actions
+        return actions + self._complete_or_set_timer(event.now_ms, may_keep_timer)
 
-    def complete(self, now_ms: float, why: str) -> list[Action]:
-        """End the query with what was merged."""
-        self.note(
+    def complete(self, now_ms: float, reason: str) -> list[Action]:
+        """End the query with the answers merged so far."""
+        self.record_decision(
             DecisionEvent.SETTLED,
             now_ms,
-            why,
+            reason,
             self.coverage().ratio,
             self.partition_map.snapshot_id,
         )
@@ -52,7 +54,7 @@
         return [*self.abandon(now_ms), Complete(completion)]
 
     def abandon(self, now_ms: float) -> list[Action]:
-        """Cancel every call and leave the probe to another query."""
+        """Cancel every call and release the reservation of the probe."""
         actions = self.cancel_all(now_ms)
         self.is_complete = True
         request = self.request
@@ -61,26 +63,29 @@
         )
         return actions
 
-    def _settle(self, now_ms: float, may_keep_timer: bool) -> list[Action]:
-        why = self._reason_to_stop(now_ms)
-        if why is not None:
-            return self.complete(now_ms, why)
+    def _complete_or_set_timer(
+        self, now_ms: float, may_keep_timer: bool
+    ) -> list[Action]:
+        reason = self._completion_reason(now_ms)
+        if reason is not None:
+            return self.complete(now_ms, reason)
         if may_keep_timer:
             return []
-        earliest_ms = now_ms + TIMER_DISTANCE_MIN_MS
+        earliest_ms = now_ms + TIMER_INTERVAL_MIN_MS
         return [SetTimer(max(earliest_ms, self._next_due_ms(now_ms)))]
 
-    def _reason_to_stop(self, now_ms: float) -> str | None:
-        """Return why the query ends now, or None while it goes on."""
+    def _completion_reason(self, now_ms: float) -> str | None:
+        """Return why the query ends now, or None while it continues."""
         if now_ms >= self.request.deadline_ms:
             return "deadline"
         if self.is_quarantined(now_ms):
             return "quarantined"
-        if self.is_settled and not self.is_replanning:
+        if self.all_shards_finished and not self.is_replanning:
             return "all shards settled"
         is_repeatable = is_idempotent(self.request)
         if is_repeatable and not self.may_reach_floor and not self.is_replanning:
-            # The caller can repeat the request sooner than it would be refused.
+            # The caller can repeat the request sooner than after a failure at the
+            # deadline.
             return "floor out of reach"
         if self._is_past_soft_deadline(now_ms):
             return "soft deadline"
@@ -101,11 +106,15 @@
             due_ms = min(due_ms, self.request.arrived_ms + soft_ms)
         if self.is_replanning:
             return due_ms
-        if held_shards(self):
-            held_ms = self.context.quarantine.held_until_ms(self.request.fingerprint)
-            due_ms = min(due_ms, max(held_ms, now_ms + HELD_CHECK_MS))
+        if deferred_shards(self):
+            reserved_until_ms = self.context.quarantine.held_until_ms(
+                self.request.fingerprint
+            )
+            due_ms = min(
+                due_ms, max(reserved_until_ms, now_ms + DEFERRED_CHECK_INTERVAL_MS)
+            )
         may_hedge = is_idempotent(self.request)
-        timing = timing_of(self)
+        timing = hedge_timing(self)
         for progress in self.shards.values():
             if progress.retry_at_ms is not None:
                 due_ms = min(due_ms, progress.retry_at_ms)
--- a/chestnuthall/core/fanout/_merge.py
+++ b/chestnuthall/core/fanout/_merge.py
@@ -1,4 +1,4 @@
-"""Merging of shard answers, and the coverage of what was merged."""
+"""Merge shard answers and compute the coverage of the result."""
 
 from collections.abc import Iterable, Mapping, Sequence
 from functools import singledispatch
@@ -25,32 +25,35 @@
 def merge_hits(
     answers: Iterable[ShardAnswer], n_hits_max: int | None
 ) -> tuple[Hit, ...]:
-    """Return the best hits of ranked shard answers, best first."""
+    """Return the best hits of all shard answers, best first."""
     ranked = (sorted(answer.hits, key=_rank) for answer in answers)
     return tuple(islice(merge(*ranked, key=_rank), n_hits_max))
 
 
 @singledispatch
-def merge_replies(request: Request, parts: Sequence[Reply]) -> Reply | None:
-    """Return what the caller of a relayed request gets; None for other kinds."""
+def merge_replies(request: Request, replies: Sequence[Reply]) -> Reply | None:
+    """Return the reply to a relayed request; None for other kinds of request."""
     return None
 
 
 @merge_replies.register
-def _(request: ForwardRequest, parts: Sequence[Reply]) -> Reply | None:
-    return parts[0] if parts else None
+def _(request: ForwardRequest, replies: Sequence[Reply]) -> Reply | None:
+    return replies[0] if replies else None
 
 
 @merge_replies.register
-def _(request: ScatterRequest, parts: Sequence[Reply]) -> Reply | None:
-    bodies = [part.body for part in parts]
+def _(request: ScatterRequest, replies: Sequence[Reply]) -> Reply | None:
+    bodies = [reply.body for reply in replies]
     merged = merge_records(bodies, request.n_records_max, request.n_record_bytes)
     return Reply(200, (), merged)
 
 
 @singledispatch
 def error_reply_of(request: Request, reply: Reply | None) -> Reply | None:
-    """Return the replica's error that its caller gets, where only one answers."""
+    """Return the error reply to pass on to the caller, or None.
+
+    Only a forwarded request passes it on, as a single replica answers it.
+    """
     return None
 
 
@@ -64,45 +67,48 @@
 ) -> bytes:
     """Return the greatest records of all bodies, greatest first.
 
-    Records have a fixed size and are compared byte by byte; equal ones all
-    count. A remainder that is shorter than a record is none.
+    Records have a fixed size and are compared byte by byte; duplicates are
+    kept. A trailing remainder shorter than a record is ignored.
 
     Examples
     --------
     >>> merge_records([b"aacc", b"bbddx"], 3, 2)
     b'ddccbb'
     """
-    # Slicing each record in Python took as long as ten calls of a search.
-    whole = b"".join(body[: len(body) - len(body) % n_record_bytes] for body in bodies)
-    records = chain.from_iterable(iter_unpack(f"{n_record_bytes}s", whole))
+    # iter_unpack avoids a Python-level slice per record, which took as long as
+    # ten calls of a search.
+    complete_records = b"".join(
+        body[: len(body) - len(body) % n_record_bytes] for body in bodies
+    )
+    records = chain.from_iterable(iter_unpack(f"{n_record_bytes}s", complete_records))
     return b"".join(nlargest(n_records_max, records))
 
 
 def coverage_of(
     shards: Sequence[Shard], answers: Mapping[str, ShardAnswer]
 ) -> Coverage:
-    """Return the coverage of the answers that were merged, by shard id.
+    """Return the coverage of the merged answers, which are keyed by shard id.
 
-    A replica that reports more documents than the map gives the shard counts
-    as the whole shard, and one that reports fewer counts as it reports. The members
-    of a set have one document each.
+    If a replica reports more documents than the map assigns to the shard, the
+    map's number counts; if it reports fewer, the reported number counts. Each
+    member of a shard set has one document.
     """
     n_covered = 0
-    n_full = 0
+    n_shards_covered = 0
     missing = []
     for shard in shards:
         answer = answers.get(shard.shard_id)
         n_searched = 0 if answer is None else answer.n_documents_searched
         n_covered += min(n_searched, shard.n_documents)
         if answer is not None and n_searched >= shard.n_documents:
-            n_full += max(1, len(shard.members))
+            n_shards_covered += max(1, len(shard.members))
         else:
-            n_full += min(n_searched, len(shard.members))
+            n_shards_covered += min(n_searched, len(shard.members))
             missing.append(shard.key_range)
     return Coverage(
         n_documents_covered=n_covered,
         n_documents_total=sum(shard.n_documents for shard in shards),
-        n_shards_covered=n_full,
+        n_shards_covered=n_shards_covered,
         n_shards_total=sum(max(1, len(shard.members)) for shard in shards),
         missing_ranges=tuple(missing),
     )
--- a/chestnuthall/core/fanout/_outcome.py
+++ b/chestnuthall/core/fanout/_outcome.py
@@ -1,4 +1,4 @@
-"""How a fan-out ends: its answer, or the failure that it ends with."""
+"""Outcome of a fan-out: its merged answer or its failure."""
 
 from functools import singledispatch
 
@@ -19,14 +19,14 @@
 
 
 def completion_of(state: FanOutState, now_ms: float) -> Completion:
-    """Return what the query ends with, from what was merged so far."""
+    """Return the outcome of the query from the answers merged so far."""
     coverage = state.coverage()
     failure = _failure_of(state, coverage, now_ms)
     n_hits = n_hits_wanted(state.request)
     answers = state.answers().values()
     hits = () if failure else merge_hits(answers, n_hits)
-    parts = tuple(item.reply for item in answers if item.reply is not None)
-    reply = merge_replies(state.request, parts) if failure is None else None
+    replies = tuple(item.reply for item in answers if item.reply is not None)
+    reply = merge_replies(state.request, replies) if failure is None else None
     return Completion(
         failure=failure,
         hits=hits,
@@ -35,7 +35,7 @@
         account=state.account(),
         run=state.run_state(),
         reply=error_reply_of(state.request, state.error_reply) if failure else reply,
-        parts=() if failure else parts,
+        parts=() if failure else replies,
         decisions=tuple(state.decisions),
     )
 
@@ -69,7 +69,7 @@
 
 @_failure_below_floor.register
 def _(request: ForwardRequest, state: FanOutState, coverage: Coverage) -> Failure:
-    if state.last_failure is None or not state.is_settled:
+    if state.last_failure is None or not state.all_shards_finished:
         return CALL_TIMED_OUT.because("no replica answered in time")
     return state.last_failure
 
@@ -79,7 +79,7 @@
         return QUARANTINED.because("the request crashed the replicas that ran it")
     if state.is_suspected(now_ms):
         return DEADLINE_PASSED.because(
-            "an earlier run lost a replica and its verdict did not come in time"
+            "an earlier run lost a replica and the probe had no result in time"
         )
     return NO_REPLICA.because("no replica of the shards can be called")
 
@@ -93,7 +93,7 @@
     if state.n_calls == 0:
         return _failure_without_calls(state, now_ms)
     if state.last_failure is None:
-        return DEADLINE_PASSED.because("no replica began the request in time")
+        return DEADLINE_PASSED.because("no replica started the request in time")
     if state.last_failure.kind in NOT_STARTED_KINDS:
         return state.last_failure
     return OUTCOME_UNKNOWN.because(state.last_failure.reason)
--- a/chestnuthall/core/fanout/_partial.py
+++ b/chestnuthall/core/fanout/_partial.py
@@ -1,4 +1,4 @@
-"""Sums of the partial answers of a two-level fan-out."""
+"""Merge the partial answers of a two-level fan-out."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -8,9 +8,9 @@
 
 @dataclass(frozen=True, slots=True)
 class PartialAnswer:
-    """What one instance found in its set of shards of one snapshot.
+    """Answer of one instance for its shard set of one snapshot.
 
-    ``n_calls`` is the number of shard calls that it made.
+    ``n_calls`` is the number of shard calls that the instance made.
     """
 
     snapshot_id: int
@@ -19,8 +19,8 @@
     n_calls: int = 0
 
 
-def sum_coverage(parts: Sequence[Coverage]) -> Coverage:
-    """Return the coverage of disjoint sets of shards taken together.
+def sum_coverage(coverages: Sequence[Coverage]) -> Coverage:
+    """Return the total coverage of disjoint shard sets.
 
     Examples
     --------
@@ -28,40 +28,43 @@
     0.75
     """
     return Coverage(
-        n_documents_covered=sum(part.n_documents_covered for part in parts),
-        n_documents_total=sum(part.n_documents_total for part in parts),
-        n_shards_covered=sum(part.n_shards_covered for part in parts),
-        n_shards_total=sum(part.n_shards_total for part in parts),
-        missing_ranges=tuple(item for part in parts for item in part.missing_ranges),
+        n_documents_covered=sum(coverage.n_documents_covered for coverage in coverages),
+        n_documents_total=sum(coverage.n_documents_total for coverage in coverages),
+        n_shards_covered=sum(coverage.n_shards_covered for coverage in coverages),
+        n_shards_total=sum(coverage.n_shards_total for coverage in coverages),
+        missing_ranges=tuple(
+            item for coverage in coverages for item in coverage.missing_ranges
+        ),
     )
 
 
 def merge_partials(
-    parts: Sequence[PartialAnswer], snapshot_id: int, n_hits_max: int
+    answers: Sequence[PartialAnswer], snapshot_id: int, n_hits_max: int
 ) -> PartialAnswer:
-    """Return the partial answers of one snapshot as one answer.
+    """Merge the partial answers of one snapshot into one answer.
 
-    Parts of another snapshot add no hits and no documents, so that a sum never
-    mixes snapshots. The caller adds the key ranges that such a part covered to
-    the missing ones, since it knows which shards it had asked for.
+    Partial answers of another snapshot contribute no hits and no covered
+    documents, so that the result never mixes snapshots. The caller adds the key
+    ranges that they covered to the missing ranges, since it knows which shards
+    it requested.
     """
-    merged = [part for part in parts if part.snapshot_id == snapshot_id]
+    merged = [answer for answer in answers if answer.snapshot_id == snapshot_id]
     hits = sorted(
-        (hit for part in merged for hit in part.hits),
+        (hit for answer in merged for hit in answer.hits),
         key=lambda hit: (-hit.score, hit.key),
     )
     coverage = sum_coverage(
         [
-            part.coverage if part.snapshot_id == snapshot_id else _nothing_of(part)
-            for part in parts
+            answer.coverage
+            if answer.snapshot_id == snapshot_id
+            else _without_coverage(answer)
+            for answer in answers
         ]
     )
-    n_calls = sum(part.n_calls for part in parts)
+    n_calls = sum(answer.n_calls for answer in answers)
     return PartialAnswer(snapshot_id, tuple(hits[:n_hits_max]), coverage, n_calls)
 
 
-def _nothing_of(part: PartialAnswer) -> Coverage:
-    total = part.coverage
-    return Coverage(
-        0, total.n_documents_total, 0, total.n_shards_total, total.missing_ranges
-    )
+def _without_coverage(answer: PartialAnswer) -> Coverage:
+    own = answer.coverage
+    return Coverage(0, own.n_documents_total, 0, own.n_shards_total, own.missing_ranges)
--- a/chestnuthall/core/fanout/_probes.py
+++ b/chestnuthall/core/fanout/_probes.py
@@ -1,39 +1,40 @@
-"""How a request that lost replicas goes on: one call at a time.
+"""Continue a request that lost replicas, one call at a time.
 
-See ``core.quarantine`` for the rule. The shards that a suspected request still
-has to reach are held. Peers are warned, then one held shard is called, the
-probe, and the others wait for its outcome.
+A request is suspected when replicas were lost while they ran it; see
+``core.quarantine`` for the rule. The shards that a suspected request still has
+to reach are deferred. The peers are notified, then one deferred shard is called
+as the probe, and the other shards wait for its outcome, the verdict.
 """
 
 from chestnuthall.core.fanout._events import Action, Warn
 from chestnuthall.core.fanout._progress import ProbeStep, ShardProgress
-from chestnuthall.core.fanout._state import N_ATTEMPTS_MAX, PROBE, FanOutState
-from chestnuthall.core.fanout._targets import open_shard
+from chestnuthall.core.fanout._state import N_ATTEMPTS_MAX, PROBE_REASON, FanOutState
+from chestnuthall.core.fanout._targets import with_eligible_replicas
 from chestnuthall.core.model import Replica
 
 
-def begin_suspected(state: FanOutState, now_ms: float) -> list[Action]:
-    """Hold every shard of a request that an earlier run made suspected."""
+def defer_all(state: FanOutState, now_ms: float) -> list[Action]:
+    """Defer every shard of a request that became suspected in an earlier run."""
     for progress in state.shards.values():
-        progress.is_held = True
-    return begin_probe(state, now_ms)
+        progress.is_deferred = True
+    return reserve_probe(state, now_ms)
 
 
-def hold(state: FanOutState, progress: ShardProgress, now_ms: float) -> list[Action]:
-    """Hold a shard that lost its replica, until the probe is answered."""
-    progress.is_held = True
+def defer(state: FanOutState, progress: ShardProgress, now_ms: float) -> list[Action]:
+    """Defer a shard of a suspected request until the probe is answered."""
+    progress.is_deferred = True
     if state.is_quarantined(now_ms):
-        return settle_held(state, now_ms)
-    return begin_probe(state, now_ms)
+        return resolve_deferred(state, now_ms)
+    return reserve_probe(state, now_ms)
 
 
-def held_shards(state: FanOutState) -> list[ShardProgress]:
-    """Return the shards that wait for the verdict."""
-    return [item for item in state.shards.values() if item.is_held]
+def deferred_shards(state: FanOutState) -> list[ShardProgress]:
+    """Return the shards that wait for the verdict on the request."""
+    return [item for item in state.shards.values() if item.is_deferred]
 
 
-def begin_probe(state: FanOutState, now_ms: float) -> list[Action]:
-    """Warn the peers if no other query runs the probe already."""
+def reserve_probe(state: FanOutState, now_ms: float) -> list[Action]:
+    """Reserve the probe and notify the peers, unless another query has reserved it."""
     if state.probe_step is not ProbeStep.NONE:
         return []
     request = state.request
@@ -46,51 +47,53 @@
 
 
 def on_warned(state: FanOutState, now_ms: float) -> list[Action]:
-    """Start the probe, now that the peers know of the suspicion."""
+    """Start the probe once the peers were notified of the suspicion."""
     state.probe_step = ProbeStep.NONE
     if state.is_quarantined(now_ms) or not state.is_suspected(now_ms):
-        return settle_held(state, now_ms)
+        return resolve_deferred(state, now_ms)
     return start_probe(state, now_ms)
 
 
 def start_probe(state: FanOutState, now_ms: float) -> list[Action]:
-    """Call one held shard; give all of them up if none can be called."""
-    for progress in held_shards(state):
-        replica = _choose(state, progress, now_ms)
+    """Call one deferred shard as the probe; give all up if none can be called."""
+    for progress in deferred_shards(state):
+        replica = _choose_probe_replica(state, progress, now_ms)
         if replica is None or progress.n_attempts >= N_ATTEMPTS_MAX:
             continue
-        if not _take_credit(state, progress, now_ms):
+        if not _acquire_retry_credit(state, progress, now_ms):
             break
-        progress.is_held = False
+        progress.is_deferred = False
         state.probe_step = ProbeStep.RUNNING
-        return [state.start(progress, replica, now_ms, PROBE)]
-    for progress in held_shards(state):
+        return [state.start(progress, replica, now_ms, PROBE_REASON)]
+    for progress in deferred_shards(state):
         _give_up(state, progress, now_ms)
     return []
 
 
-def _choose(
+def _choose_probe_replica(
     state: FanOutState, progress: ShardProgress, now_ms: float
 ) -> Replica | None:
-    """Return a replica outside the zones that lost replicas, if there is one.
+    """Return a replica, preferring zones in which no replica was lost.
 
-    In a zone that is failing the probe would be lost whatever the request does.
+    In a failing zone the probe would be lost even if the request is harmless.
     """
     router = state.context.router
     lost_zones = state.context.quarantine.lost_zones(state.request.fingerprint, now_ms)
-    doubtful = {
+    in_lost_zones = {
         item.name for item in progress.shard.replicas if item.zone in lost_zones
     }
     snapshot_id = state.partition_map.snapshot_id
     excluded = progress.tried_names
-    shard = open_shard(state.request, progress)
+    shard = with_eligible_replicas(state.request, progress)
     work = state.context.work
     return router.choose(
-        shard, snapshot_id, excluded | doubtful, now_ms, work=work
+        shard, snapshot_id, excluded | in_lost_zones, now_ms, work=work
     ) or router.choose(shard, snapshot_id, excluded, now_ms, work=work)
 
 
-def _take_credit(state: FanOutState, progress: ShardProgress, now_ms: float) -> bool:
+def _acquire_retry_credit(
+    state: FanOutState, progress: ShardProgress, now_ms: float
+) -> bool:
     if progress.n_attempts == 0:
         return True
     if not state.context.budget.try_take_retry(
@@ -102,36 +105,41 @@
 
 
 def _give_up(state: FanOutState, progress: ShardProgress, now_ms: float) -> None:
-    progress.is_held = False
+    progress.is_deferred = False
     state.give_up(progress, "no verdict on a suspected request", now_ms)
 
 
 def on_probe_answered(state: FanOutState, now_ms: float) -> list[Action]:
-    """Clear the request and go on with the shards that waited."""
+    """Clear the request of suspicion and continue with the deferred shards."""
     state.probe_step = ProbeStep.NONE
     state.context.quarantine.clear(state.request.fingerprint, now_ms)
-    return settle_held(state, now_ms)
+    return resolve_deferred(state, now_ms)
 
 
-def on_probe_not_run(
+def retry_probe(
     state: FanOutState, progress: ShardProgress, now_ms: float
 ) -> list[Action]:
-    """Try the probe again, since nothing was learnt of the request."""
-    progress.is_held = True
+    """Repeat a probe that failed without a verdict on the request."""
+    progress.is_deferred = True
     return start_probe(state, now_ms)
 
 
-def settle_held(state: FanOutState, now_ms: float) -> list[Action]:
-    """Go on with the held shards of a cleared request, or give them up."""
+def resolve_deferred(state: FanOutState, now_ms: float) -> list[Action]:
+    """Continue with the deferred shards, or give them up.
+
+    Shards of a cleared request are called as far as attempts and credit allow;
+    shards of a quarantined request are given up. If the request is still
+    suspected, the next probe is reserved instead.
+    """
     if state.is_suspected(now_ms) and not state.is_quarantined(now_ms):
-        return begin_probe(state, now_ms)
+        return reserve_probe(state, now_ms)
     is_quarantined = state.is_quarantined(now_ms)
     actions: list[Action] = []
-    for progress in held_shards(state):
+    for progress in deferred_shards(state):
         may_go_on = not is_quarantined and progress.n_attempts < N_ATTEMPTS_MAX
-        if not may_go_on or not _take_credit(state, progress, now_ms):
+        if not may_go_on or not _acquire_retry_credit(state, progress, now_ms):
             _give_up(state, progress, now_ms)
             continue
-        progress.is_held = False
+        progress.is_deferred = False
         actions += state.try_dispatch(progress, now_ms)
     return actions
--- a/chestnuthall/core/fanout/_progress.py
+++ b/chestnuthall/core/fanout/_progress.py
@@ -7,7 +7,7 @@
 
 
 class ProbeStep(Enum):
-    """How far the probe of a suspected request has come."""
+    """Progress of the probe of a suspected request."""
 
     NONE = "none"
     WARNING = "warning"
@@ -16,9 +16,9 @@
 
 @dataclass(slots=True)
 class RunningCall:
-    """A call that has neither answered nor failed.
+    """A call that has neither been answered nor failed.
 
-    ``is_probe`` marks a call whose outcome is the verdict on the request.
+    ``is_probe`` marks a call whose outcome is the verdict on a suspected request.
     """
 
     call: ShardCall
@@ -28,41 +28,41 @@
 
 @dataclass(slots=True)
 class ShardProgress:
-    """What is known about one shard of the plan.
+    """Progress of one shard of the pinned map.
 
     ``retry_at_ms`` is set while the shard waits for its next attempt;
-    ``is_given_up`` means that no further attempt will be made, and ``is_held``
-    that the shard waits for the verdict on a suspected request. ``has_lost``
-    means that a replica of the shard was lost while it ran the request.
-    ``tried_names`` are passed over by the next attempt; ``sent_names`` are all
-    replicas to which something was written.
+    ``is_given_up`` means that no further attempt will be made, and
+    ``is_deferred`` that the shard waits for the verdict on a suspected request.
+    ``has_lost_replica`` means that a replica of the shard was lost while it ran
+    the request. The next attempt skips the replicas in ``tried_names``;
+    ``contacted_names`` are all replicas to which a call may have been written.
     """
 
     shard: Shard
     running: dict[str, RunningCall] = field(default_factory=dict)
     tried_names: set[str] = field(default_factory=set)
-    sent_names: set[str] = field(default_factory=set)
+    contacted_names: set[str] = field(default_factory=set)
     answer: ShardAnswer | None = None
     n_attempts: int = 0
     is_hedged: bool = False
     is_hedge_withheld: bool = False
     is_given_up: bool = False
-    is_held: bool = False
-    has_lost: bool = False
+    is_deferred: bool = False
+    has_lost_replica: bool = False
     hedge_not_before_ms: float = float("-inf")
     retry_at_ms: float | None = None
 
     @property
-    def is_settled(self) -> bool:
-        """Whether nothing more will come from the shard."""
+    def is_finished(self) -> bool:
+        """Whether the shard has an answer or will not get one."""
         return self.answer is not None or (self.is_given_up and not self.running)
 
     @property
-    def is_lost(self) -> bool:
-        """Whether the shard will have no answer."""
+    def has_failed(self) -> bool:
+        """Whether the shard ended without an answer."""
         return self.answer is None and self.is_given_up and not self.running
 
     @property
-    def oldest(self) -> RunningCall | None:
-        """The call that has run longest, or None."""
+    def oldest_call(self) -> RunningCall | None:
+        """The call that was started first, or None if no call is running."""
         return next(iter(self.running.values()), None)
--- a/chestnuthall/core/fanout/_state.py
+++ b/chestnuthall/core/fanout/_state.py
@@ -1,4 +1,4 @@
-"""State of one query over its shards, and the steps that change it."""
+"""State of one query over its shards, with its state transitions."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 from chestnuthall.core.fanout._events import Action, Cancel, Dispatch
 from chestnuthall.core.fanout._merge import coverage_of
 from chestnuthall.core.fanout._progress import ProbeStep, RunningCall, ShardProgress
-from chestnuthall.core.fanout._targets import open_shard, target_shards
+from chestnuthall.core.fanout._targets import target_shards, with_eligible_replicas
 from chestnuthall.core.model import (
     CallerClass,
     Coverage,
@@ -40,12 +40,12 @@
 
 N_ATTEMPTS_MAX = 4
 N_REPLANS_MAX = 2
-# Peers that a set of shards is offered to before its members are called from here.
-N_PEERS_TRIED = 2
-# Reason of a call whose outcome is the verdict on a suspected request.
-PROBE = "probe"
+# Peers that are offered a shard set before this instance calls its members itself.
+N_PEER_ATTEMPTS_MAX = 2
+# Reason recorded for a call that probes a suspected request.
+PROBE_REASON = "probe"
 
-# Failures that prove that the replica did not begin the call.
+# Failures that prove that the replica did not start the call.
 NOT_STARTED_KINDS: frozenset[FailureKind] = frozenset(
     {
         NO_REPLICA,
@@ -57,7 +57,7 @@
     }
 )
 
-# Failures of which nothing was written to the replica.
+# Failures before anything was written to the replica.
 NOT_SENT_KINDS: frozenset[FailureKind] = frozenset(
     {NO_REPLICA, CONNECTION_REFUSED, DEADLINE_PASSED}
 )
@@ -65,21 +65,21 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FanOutContext:
-    """What a fan-out shares with the other queries of its instance."""
+    """Resources and settings that a fan-out gets from its instance."""
 
     router: Router
     budget: ExtraLoad
     quarantine: QuarantineRegister
     caller_class: CallerClass
     utilisation_ratio: float = 0.0
-    # Names the kind of call for the router's latencies; see ``Router``.
+    # Label of the kind of call, for which ``Router`` keeps separate latencies.
     work: str = ""
-    # Joins shards into sets that peers answer for; None where there are no sets.
+    # Groups shards into sets that peers answer; None disables shard sets.
     bundle: Callable[[Sequence[Shard]], tuple[Shard, ...]] | None = None
 
 
 class FanOutState:
-    """The pinned map, the progress of its shards, and what the calls did."""
+    """Pinned partition map, progress of its shards, and counts of calls."""
 
     def __init__(
         self, request: Request, partition_map: PartitionMap, context: FanOutContext
@@ -90,7 +90,7 @@
         self.shards: dict[str, ShardProgress] = {}
         self.is_complete = False
         self.is_replanning = False
-        self.has_given_up = False
+        self.has_given_up_shards = False
         self.probe_step = ProbeStep.NONE
         self.gone_snapshot_ids: list[int] = []
         self.last_failure: Failure | None = None
@@ -105,33 +105,35 @@
         self.slowest_shard_ms = 0.0
         self._shard_of_call: dict[str, str] = {}
         self._n_call_ids = 0
-        self._unsettled: list[ShardProgress] = []
+        self._unfinished: list[ShardProgress] = []
         self.decisions: list[Decision] = []
 
-    def note(self, event: DecisionEvent, now_ms: float, *values: object) -> None:
-        """Keep a decision for the log."""
+    def record_decision(
+        self, event: DecisionEvent, now_ms: float, *values: object
+    ) -> None:
+        """Record a decision for the decision log."""
         self.decisions.append(Decision(now_ms, event, values))
 
-    def give_up(self, progress: ShardProgress, why: str, now_ms: float) -> None:
-        """Make no further attempt at a shard; a call that runs may still answer."""
+    def give_up(self, progress: ShardProgress, reason: str, now_ms: float) -> None:
+        """Make no further attempt at a shard; a running call may still answer."""
         progress.is_given_up = True
-        self.has_given_up = True
+        self.has_given_up_shards = True
         shard_id = progress.shard.shard_id
-        self.note(
-            DecisionEvent.SHARD_GIVEN_UP, now_ms, shard_id, progress.n_attempts, why
+        self.record_decision(
+            DecisionEvent.SHARD_GIVEN_UP, now_ms, shard_id, progress.n_attempts, reason
         )
 
     def plan(self, partition_map: PartitionMap, may_bundle: bool = False) -> None:
-        """Pin a map and forget everything that was merged from another one."""
+        """Pin a map and discard all answers merged under the previous one."""
         self.partition_map = partition_map
         shards = target_shards(self.request, partition_map)
         if may_bundle and self.context.bundle is not None:
             shards = self.context.bundle(shards)
         self.shards = {shard.shard_id: ShardProgress(shard) for shard in shards}
-        self._unsettled = list(self.shards.values())
+        self._unfinished = list(self.shards.values())
 
-    def own_shard_ids(self) -> list[str]:
-        """Return the shards whose replicas are called from here."""
+    def direct_shard_ids(self) -> list[str]:
+        """Return the ids of the shards whose replicas this instance calls itself."""
         return [
             shard_id
             for shard_id, progress in self.shards.items()
@@ -139,19 +141,22 @@
         ]
 
     def work_of(self, progress: ShardProgress) -> str:
-        """Return the kind of call that a shard needs; a set takes longer."""
+        """Return the label of the shard's kind of call.
+
+        Shard sets have a label of their own, as their calls take longer.
+        """
         work = self.context.work
         return f"{work} set" if progress.shard.members else work
 
     @property
-    def is_settled(self) -> bool:
-        """Whether nothing more will come from any shard.
+    def all_shards_finished(self) -> bool:
+        """Whether each shard has an answer or will not get one.
 
-        A settled shard stays settled, so each one is passed only once.
+        A finished shard stays finished, so each shard is checked off only once.
         """
-        while self._unsettled and self._unsettled[-1].is_settled:
-            self._unsettled.pop()
-        return not self._unsettled
+        while self._unfinished and self._unfinished[-1].is_finished:
+            self._unfinished.pop()
+        return not self._unfinished
 
     def dispatch_all(self, now_ms: float) -> list[Action]:
         """Start the first call of every shard."""
@@ -161,7 +166,7 @@
         return actions
 
     def try_dispatch(self, progress: ShardProgress, now_ms: float) -> list[Action]:
-        """Start a call of a shard, or give the shard up if nothing can run it."""
+        """Start a call of a shard, or give the shard up if no replica can be called."""
         progress.retry_at_ms = None
         if progress.shard.members:
             return self._dispatch_set(progress, now_ms)
@@ -176,22 +181,22 @@
         return [self.start(progress, replica, now_ms, reason)]
 
     def _dispatch_set(self, progress: ShardProgress, now_ms: float) -> list[Action]:
-        """Offer a set to a peer, or call its members where no peer takes it."""
+        """Send a shard set to a peer, or call its members if no peer accepts it."""
         replica = None
-        if progress.n_attempts < N_PEERS_TRIED:
+        if progress.n_attempts < N_PEER_ATTEMPTS_MAX:
             replica = self._choose(progress, now_ms)
         if replica is None:
-            return self._open_set(progress, now_ms)
+            return self._expand_set(progress, now_ms)
         reason = "retry" if progress.n_attempts else "first"
         return [self.start(progress, replica, now_ms, reason)]
 
-    def _open_set(self, progress: ShardProgress, now_ms: float) -> list[Action]:
-        """Put the members of a set in its place; no replica of theirs was called."""
+    def _expand_set(self, progress: ShardProgress, now_ms: float) -> list[Action]:
+        """Replace a shard set by its members, of which no replica was called yet."""
         del self.shards[progress.shard.shard_id]
-        self._unsettled.remove(progress)
+        self._unfinished.remove(progress)
         members = [ShardProgress(shard) for shard in progress.shard.members]
         self.shards |= {item.shard.shard_id: item for item in members}
-        self._unsettled += members
+        self._unfinished += members
         context = self.context
         member_ids = [item.shard.shard_id for item in members]
         context.budget.earn(member_ids, context.utilisation_ratio, now_ms)
@@ -202,7 +207,7 @@
 
     def _choose(self, progress: ShardProgress, now_ms: float) -> Replica | None:
         return self.context.router.choose(
-            open_shard(self.request, progress),
+            with_eligible_replicas(self.request, progress),
             self.partition_map.snapshot_id,
             progress.tried_names,
             now_ms,
@@ -214,7 +219,8 @@
             return None
         floor = self.context.caller_class.coverage_floor_ratio
         n_total = len(self.partition_map.shards)
-        # Binary fractions put a product such as 0.1 * 30 just below its integer.
+        # Rounding errors can put a product such as (1.0 - 0.9) * 30 just below its
+        # integer.
         n_missing_max = int((1.0 - floor) * n_total + 1e-9)
         shard_ids = tuple(item.shard_id for item in shard.members)
         return ShardSet(shard_ids, n_missing_max)
@@ -237,23 +243,23 @@
             request=self.request,
             shard_set=self._shard_set(progress.shard),
         )
-        is_probe = reason == PROBE
+        is_probe = reason == PROBE_REASON
         progress.running[call.call_id] = RunningCall(call, now_ms, is_probe)
         progress.tried_names.add(replica.name)
-        progress.sent_names.add(replica.name)
+        progress.contacted_names.add(replica.name)
         progress.n_attempts += 1
         self._shard_of_call[call.call_id] = call.shard_id
         self.n_calls += 1
-        self._note_sent(call, progress, reason, now_ms)
+        self._record_call_sent(call, progress, reason, now_ms)
         self.context.router.on_started(replica, now_ms, self.work_of(progress))
         return Dispatch(call)
 
-    def _note_sent(
+    def _record_call_sent(
         self, call: ShardCall, progress: ShardProgress, reason: str, now_ms: float
     ) -> None:
         replica = call.replica
-        seen = self.context.router.state_of(replica.name)
-        self.note(
+        replica_state = self.context.router.state_of(replica.name)
+        self.record_decision(
             DecisionEvent.CALL_SENT,
             now_ms,
             call.shard_id,
@@ -263,13 +269,13 @@
             progress.n_attempts,
             reason,
             call.deadline_ms - now_ms,
-            seen.n_in_flight,
-            seen.latency_ms,
-            now_ms - seen.updated_ms,
+            replica_state.n_in_flight,
+            replica_state.latency_ms,
+            now_ms - replica_state.updated_ms,
         )
 
-    def take_running(self, call_id: str) -> tuple[ShardProgress, RunningCall] | None:
-        """Remove a running call; None for one that was dropped before."""
+    def pop_running(self, call_id: str) -> tuple[ShardProgress, RunningCall] | None:
+        """Remove and return a running call; None if it was already removed."""
         progress = self.shards.get(self._shard_of_call.pop(call_id, ""))
         if progress is None:
             return None
@@ -277,7 +283,7 @@
         return None if running is None else (progress, running)
 
     def cancel_running(self, progress: ShardProgress, now_ms: float) -> list[Action]:
-        """Cancel the calls of a shard that still run."""
+        """Cancel the running calls of a shard."""
         actions: list[Action] = []
         for call_id, running in progress.running.items():
             self._shard_of_call.pop(call_id, None)
@@ -289,7 +295,7 @@
                 now_ms,
                 work=self.work_of(progress),
             )
-            self.note(
+            self.record_decision(
                 DecisionEvent.CALL_CANCELLED,
                 now_ms,
                 running.call.shard_id,
@@ -301,7 +307,7 @@
         return actions
 
     def cancel_all(self, now_ms: float) -> list[Action]:
-        """Cancel every call that still runs."""
+        """Cancel every running call."""
         actions: list[Action] = []
         for progress in self.shards.values():
             actions += self.cancel_running(progress, now_ms)
@@ -312,11 +318,11 @@
         return len(self.gone_snapshot_ids) < N_REPLANS_MAX
 
     def is_suspected(self, now_ms: float) -> bool:
-        """Return whether the request cost a replica and was not cleared since."""
+        """Return whether the request lost a replica and has not been cleared since."""
         return self.context.quarantine.is_suspected(self.request.fingerprint, now_ms)
 
     def is_quarantined(self, now_ms: float) -> bool:
-        """Return whether the request may not run any more."""
+        """Return whether the request is quarantined and must not run."""
         return self.context.quarantine.is_quarantined(self.request.fingerprint, now_ms)
 
     def coverage(self) -> Coverage:
@@ -325,7 +331,7 @@
         return coverage_of(shards, self.answers())
 
     def answers(self) -> dict[str, ShardAnswer]:
-        """Return the answers taken for the pinned map, by shard id."""
+        """Return the accepted answers for the pinned map, by shard id."""
         return {
             shard_id: progress.answer
             for shard_id, progress in self.shards.items()
@@ -335,15 +341,15 @@
     @property
     def may_reach_floor(self) -> bool:
         """Whether the shards that are not given up could still reach the floor."""
-        if not self.has_given_up:
+        if not self.has_given_up_shards:
             return True
-        open_shards = [item for item in self.shards.values() if not item.is_lost]
+        reachable = [item for item in self.shards.values() if not item.has_failed]
         n_total = sum(item.shard.n_documents for item in self.shards.values())
-        n_open = sum(item.shard.n_documents for item in open_shards)
-        return n_open >= self.context.caller_class.coverage_floor_ratio * n_total
+        n_reachable = sum(item.shard.n_documents for item in reachable)
+        return n_reachable >= self.context.caller_class.coverage_floor_ratio * n_total
 
     def run_state(self) -> RunState:
-        """Return whether any replica ran the request, as far as known."""
+        """Return whether any replica ran the request, or unknown."""
         if self.n_answered > 0:
             return RunState.YES
         if self.n_calls == self.n_not_started:
@@ -351,7 +357,7 @@
         return RunState.UNKNOWN
 
     def account(self) -> FanOutAccount:
-        """Return what the shard calls did so far."""
+        """Return the counts and the slowest answer of the shard calls so far."""
         return FanOutAccount(
             n_calls=self.n_calls,
             n_hedges=self.n_hedges,
--- a/chestnuthall/core/fanout/_targets.py
+++ b/chestnuthall/core/fanout/_targets.py
@@ -1,4 +1,4 @@
-"""What varies with the kind of request in a fan-out."""
+"""Behaviour of a fan-out that depends on the kind of request."""
 
 from dataclasses import replace
 from functools import singledispatch
@@ -18,7 +18,7 @@
 
 @singledispatch
 def target_shards(request: Request, partition_map: PartitionMap) -> tuple[Shard, ...]:
-    """Return the shards that a request has to reach."""
+    """Return the shards that the request has to reach."""
     raise TypeError(f"not a request: {type(request).__name__}")
 
 
@@ -52,7 +52,7 @@
 
 @singledispatch
 def work_of(request: Request) -> str:
-    """Return the name of the kind of call that the router tells apart."""
+    """Return the label of the kind of call, for the router's latency statistics."""
     return ""
 
 
@@ -62,24 +62,26 @@
 
 
 @singledispatch
-def open_shard(request: Request, progress: ShardProgress) -> Shard:
-    """Return the shard with the replicas that may be sent its next call."""
+def with_eligible_replicas(request: Request, progress: ShardProgress) -> Shard:
+    """Return the shard with only the replicas that may get its next call."""
     return progress.shard
 
 
-@open_shard.register
+@with_eligible_replicas.register
 def _(request: RelayedRequest, progress: ShardProgress) -> Shard:
-    if len(progress.sent_names) < request.n_replicas_max:
+    if len(progress.contacted_names) < request.n_replicas_max:
         return progress.shard
-    sent = tuple(
-        item for item in progress.shard.replicas if item.name in progress.sent_names
+    contacted = tuple(
+        item
+        for item in progress.shard.replicas
+        if item.name in progress.contacted_names
     )
-    return replace(progress.shard, replicas=sent)
+    return replace(progress.shard, replicas=contacted)
 
 
 @singledispatch
 def n_hits_wanted(request: Request) -> int | None:
-    """Return how many merged hits an answer has at most; None is no bound."""
+    """Return the maximum number of merged hits, or None for no limit."""
     return None
 
 
--- a/chestnuthall/core/fanout/tests/test_machine.py
+++ b/chestnuthall/core/fanout/tests/test_machine.py
@@ -1,4 +1,8 @@
-"""Guards the promises on snapshot, coverage and own answers in a fan-out."""
+"""Tests of the fan-out state machine.
+
+Guards against answers that mix snapshots, merge the answer of another call, claim
+too much coverage or run a mutation twice.
+"""
 
 from random import Random
 
@@ -128,15 +132,15 @@
 @pytest.mark.parametrize(
     ("changes", "n_shards_covered"),
     [
-        pytest.param({}, 3, id="whole"),
-        pytest.param({"call_id": "other"}, 2, id="crossed-call"),
+        pytest.param({}, 3, id="complete"),
+        pytest.param({"call_id": "other"}, 2, id="other-call"),
         pytest.param({"snapshot_id": 2}, 2, id="other-snapshot"),
         pytest.param({"shard_id": "s9"}, 2, id="other-shard"),
-        pytest.param({"n_documents_searched": 40}, 2, id="stopped-early"),
+        pytest.param({"n_documents_searched": 40}, 2, id="fewer-documents-searched"),
     ],
 )
-def test_only_own_whole_answers_count(changes, n_shards_covered):
-    """A mixed snapshot or a crossed answer must not reach the caller."""
+def test_only_complete_answers_of_the_call_count(changes, n_shards_covered):
+    """An answer of another call, shard or snapshot must not be merged."""
     fan_out = make_fan_out(partition_map=make_map(n_replicas=1))
     calls = calls_of(fan_out.handle(Begin(0.0)))
     actions = []
@@ -151,7 +155,7 @@
 
 
 def test_duplicate_answer_counts_once():
-    """A shard that answers twice must not raise the coverage twice."""
+    """A duplicate answer of a shard must not be counted twice in the coverage."""
     fan_out = make_fan_out()
     first, *rest = calls_of(fan_out.handle(Begin(0.0)))
     for _ in range(2):
@@ -161,13 +165,13 @@
     assert len(rest) == 2
 
 
-def test_replan_starts_over_on_one_snapshot():
-    """A snapshot that goes away mid-query must not leave old hits behind."""
+def test_replan_discards_hits_of_old_snapshot():
+    """Hits of a snapshot that is unloaded during the query must not be merged."""
     fan_out = make_fan_out(partition_map=make_map(n_replicas=1))
     first, second, _ = calls_of(fan_out.handle(Begin(0.0)))
     fan_out.handle(CallAnswered(1.0, first.call_id, answer_to(first)))
-    gone = SNAPSHOT_GONE.because("swapped")
-    actions = fan_out.handle(CallFailed(2.0, second.call_id, gone))
+    unavailable = SNAPSHOT_GONE.because("swapped")
+    actions = fan_out.handle(CallFailed(2.0, second.call_id, unavailable))
     assert [item for item in actions if isinstance(item, Replan)] == [Replan((1,))]
     actions = fan_out.handle(MapReplaced(3.0, make_map(4, 1, snapshot_id=2)))
     calls = calls_of(actions)
@@ -180,13 +184,13 @@
     assert len(completion.hits) == 4
 
 
-def test_no_other_snapshot_returns_what_was_merged():
-    """Without a newer map the answer keeps its snapshot and true coverage."""
+def test_without_newer_map_merged_answers_are_returned():
+    """Without a newer map the answer keeps its snapshot and actual coverage."""
     fan_out = make_fan_out(partition_map=make_map(n_replicas=1))
     first, second, third = calls_of(fan_out.handle(Begin(0.0)))
     fan_out.handle(CallAnswered(1.0, first.call_id, answer_to(first)))
-    gone = SNAPSHOT_GONE.because("swapped")
-    fan_out.handle(CallFailed(2.0, second.call_id, gone))
+    unavailable = SNAPSHOT_GONE.because("swapped")
+    fan_out.handle(CallFailed(2.0, second.call_id, unavailable))
     assert completion_of(fan_out.handle(MapReplaced(3.0, None))) is None
     last = CallAnswered(4.0, third.call_id, answer_to(third))
     completion = completion_of(fan_out.handle(last))
@@ -197,14 +201,18 @@
 @pytest.mark.parametrize(
     ("failure", "n_dispatched", "kind"),
     [
-        pytest.param(CONNECTION_LOST.because("x"), 1, OUTCOME_UNKNOWN, id="lost"),
+        pytest.param(
+            CONNECTION_LOST.because("x"), 1, OUTCOME_UNKNOWN, id="connection-lost"
+        ),
         pytest.param(NO_REPLICA.because("x"), 2, None, id="never-written"),
         pytest.param(SHED_BY_UPSTREAM.because("x"), 2, None, id="not-started"),
-        pytest.param(DEADLINE_PASSED.because("x"), 2, None, id="no-first-byte"),
+        pytest.param(
+            DEADLINE_PASSED.because("x"), 2, None, id="deadline-before-first-byte"
+        ),
     ],
 )
 def test_mutation_is_sent_again_only_if_not_started(failure, n_dispatched, kind):
-    """A hold must not run twice after an answer that may have been lost."""
+    """A mutation must not run twice when only its answer may have been lost."""
     fan_out = make_fan_out(request=make_mutation())
     (call,) = calls_of(fan_out.handle(Begin(0.0)))
     actions = fan_out.handle(CallFailed(1.0, call.call_id, failure))
@@ -215,14 +223,14 @@
 
 
 def test_mutation_is_not_hedged():
-    """A hold must not run on a second replica because the first is slow."""
+    """A mutation must not run on a second replica because the first is slow."""
     fan_out = make_fan_out(request=make_mutation(), partition_map=make_map(3, 3))
     fan_out.handle(Begin(0.0))
     assert calls_of(fan_out.handle(TimerFired(DEADLINE_MS / 2))) == []
 
 
 def test_coverage_below_floor_is_a_failure():
-    """An answer below the floor of its class must not look like one."""
+    """An answer below the coverage floor of its class must not be returned."""
     fan_out = make_fan_out(floor=0.9)
     first, *_ = calls_of(fan_out.handle(Begin(0.0)))
     fan_out.handle(CallAnswered(1.0, first.call_id, answer_to(first)))
@@ -232,7 +240,7 @@
 
 
 def test_soft_deadline_returns_without_stragglers():
-    """A straggler must not hold back an answer that is good enough."""
+    """A straggler must not delay an answer that has reached the coverage floor."""
     fan_out = make_fan_out(floor=0.6, soft_deadline_ms=100.0)
     first, second, _ = calls_of(fan_out.handle(Begin(0.0)))
     fan_out.handle(CallAnswered(1.0, first.call_id, answer_to(first)))
@@ -243,7 +251,7 @@
 
 
 @pytest.mark.parametrize("early_ms", [0.0, 1e-9, 0.01])
-def test_timer_moves_on_when_it_fires_early(early_ms):
+def test_timer_that_fires_early_is_set_later(early_ms):
     """A timer that fires early by rounding must not be set for the same instant."""
     fan_out = make_fan_out()
     now_ms = DEADLINE_MS - early_ms - 1e-9
@@ -257,7 +265,7 @@
 
 
 def test_answers_do_not_set_the_timer_again():
-    """A pass over all shards for each answer would grow with their square."""
+    """Resetting the timer per answer would cost quadratic time in the shards."""
     fan_out = make_fan_out(partition_map=make_map(20))
     actions = fan_out.handle(Begin(0.0))
     for call in calls_of(actions)[:-1]:
--- a/chestnuthall/core/fanout/tests/test_partial.py
+++ b/chestnuthall/core/fanout/tests/test_partial.py
@@ -1,4 +1,7 @@
-"""Guards that partial answers add up to the answer of one instance."""
+"""Tests of the merging of partial answers.
+
+Guards against hits or coverage that differ from a fan-out by one instance.
+"""
 
 import pytest
 
@@ -34,20 +37,20 @@
     "split", [((0, 1, 2, 3, 4, 5),), ((0, 3), (1, 4), (2, 5)), ((0,), (1, 2, 3, 4, 5))]
 )
 @pytest.mark.parametrize("answered", [range(6), (0, 2, 5), ()])
-def test_sum_equals_the_whole(split, answered):
-    """Coverage and hits must not depend on how the shards were divided."""
-    summed = merge_partials([_partial(part, answered) for part in split], 1, 4)
-    whole = _partial(range(N_SHARDS), answered)
-    assert summed.hits == whole.hits
-    assert summed.coverage.ratio == whole.coverage.ratio
-    assert summed.coverage.n_shards_covered == whole.coverage.n_shards_covered
-    assert set(summed.coverage.missing_ranges) == set(whole.coverage.missing_ranges)
-
-
-def test_other_snapshot_adds_nothing():
-    """A part of another snapshot must never be merged."""
-    parts = [_partial((0, 1, 2), range(6)), _partial((3, 4, 5), range(6), 2)]
-    summed = merge_partials(parts, 1, 100)
-    assert {hit.key[0] for hit in summed.hits} == {"0", "1", "2"}
-    assert summed.coverage.n_shards_covered == 2
-    assert summed.coverage.n_shards_total == N_SHARDS
+def test_merged_partial_answers_equal_single_answer(split, answered):
+    """Coverage and hits must not depend on how the shards were split."""
+    merged = merge_partials([_partial(indices, answered) for indices in split], 1, 4)
+    single = _partial(range(N_SHARDS), answered)
+    assert merged.hits == single.hits
+    assert merged.coverage.ratio == single.coverage.ratio
+    assert merged.coverage.n_shards_covered == single.coverage.n_shards_covered
+    assert set(merged.coverage.missing_ranges) == set(single.coverage.missing_ranges)
+
+
+def test_other_snapshot_is_not_merged():
+    """Hits and coverage of another snapshot must never be merged."""
+    answers = [_partial((0, 1, 2), range(6)), _partial((3, 4, 5), range(6), 2)]
+    merged = merge_partials(answers, 1, 100)
+    assert {hit.key[0] for hit in merged.hits} == {"0", "1", "2"}
+    assert merged.coverage.n_shards_covered == 2
+    assert merged.coverage.n_shards_total == N_SHARDS
--- a/chestnuthall/core/fanout/tests/test_relayed.py
+++ b/chestnuthall/core/fanout/tests/test_relayed.py
@@ -1,4 +1,9 @@
-"""Guards relayed requests: attempts, merging, early ends and foreign answers."""
+"""Tests of the fan-out of relayed requests.
+
+Guards against more attempts than the operator allows, wrongly merged records,
+answers that come too early or too late, and a result that wrongly states that
+the request was not run.
+"""
 
 from random import Random
 
@@ -46,7 +51,9 @@
 FLOOR = 0.75
 
 
-def make(kind="scatter", n_shards=4, n_replicas=3, n_replicas_max=2, repeatable=True):
+def make_fan_out(
+    kind="scatter", n_shards=4, n_replicas=3, n_replicas_max=2, repeatable=True
+):
     shared = {
         "request_id": "q",
         "class_name": "c",
@@ -114,8 +121,8 @@
     return CallFailed(now_ms, call.call_id, kind.because("x"))
 
 
-def test_greatest_records_of_all_parts_are_merged():
-    fan_out = make()
+def test_greatest_records_of_all_shards_are_merged():
+    fan_out = make_fan_out()
     bodies = [b"aazz", b"bb", b"zzcc", b"ddx"]
     for body, call in zip(bodies, calls_of(fan_out.handle(Begin(0.0))), strict=True):
         actions = fan_out.handle(answered(10.0, call, body))
@@ -124,24 +131,24 @@
     assert len(completion.parts) == 4
 
 
-# (case, kind of failure of each call, most replicas of a shard that get it)
-ATTEMPTS = [
+# (case, kind of failure of each call, maximum number of replicas called per shard)
+FAILED_ATTEMPTS = [
     ("lost answers", ANSWER_CUT, 2),
-    ("sheds", SHED_BY_UPSTREAM, 2),
-    ("replaced", REPLICA_REPLACED, 2),
+    ("shed by upstream", SHED_BY_UPSTREAM, 2),
+    ("replica replaced", REPLICA_REPLACED, 2),
     ("nothing sent", NO_REPLICA, 3),
 ]
 
 
 @pytest.mark.parametrize(
-    ("kind", "n_replicas_most"),
-    [case[1:] for case in ATTEMPTS],
-    ids=[case[0] for case in ATTEMPTS],
+    ("kind", "n_replicas_called_max"),
+    [case[1:] for case in FAILED_ATTEMPTS],
+    ids=[case[0] for case in FAILED_ATTEMPTS],
 )
 @pytest.mark.parametrize("request_kind", ["scatter", "forward"])
-def test_attempts_stay_within_the_replicas_allowed(request_kind, kind, n_replicas_most):
-    """The operator's bound on replicas must hold for each shard of a request."""
-    fan_out = make(request_kind)
+def test_attempts_stay_within_replica_limit(request_kind, kind, n_replicas_called_max):
+    """The operator's limit on replicas must hold for each shard of a request."""
+    fan_out = make_fan_out(request_kind)
     pending = calls_of(fan_out.handle(Begin(0.0)))
     sent = {}
     now_ms = 1.0
@@ -156,11 +163,11 @@
             pending += calls_of(fan_out.handle(TimerFired(now_ms)))
         now_ms += 2.5
     assert fan_out.is_complete
-    assert max(map(len, sent.values())) <= n_replicas_most
+    assert max(map(len, sent.values())) <= n_replicas_called_max
 
 
 def test_hedge_counts_as_an_attempt():
-    fan_out = make()
+    fan_out = make_fan_out()
     first = calls_of(fan_out.handle(Begin(0.0)))
     hedges = calls_of(fan_out.handle(TimerFired(61.0)))
     assert len(hedges) == 4
@@ -171,33 +178,33 @@
 
 
 # (case, shards answered, time, reason to stop or None)
-STOPS = [
+COMPLETIONS = [
     ("floor is met before the soft deadline", 3, SOFT_DEADLINE_MS - 1, None),
     ("floor is met at the soft deadline", 3, SOFT_DEADLINE_MS, "soft deadline"),
     ("floor is not met at the soft deadline", 2, SOFT_DEADLINE_MS, None),
     ("floor is not met at the deadline", 2, DEADLINE_MS, "deadline"),
-    ("everything is in", 4, 20.0, "all shards settled"),
+    ("all shards have answered", 4, 20.0, "all shards settled"),
 ]
 
 
 @pytest.mark.parametrize(
-    ("n_answered", "now_ms", "why"),
-    [case[1:] for case in STOPS],
-    ids=[case[0] for case in STOPS],
+    ("n_answered", "now_ms", "reason"),
+    [case[1:] for case in COMPLETIONS],
+    ids=[case[0] for case in COMPLETIONS],
 )
-def test_time_of_the_answer(n_answered, now_ms, why):
-    """An answer must neither wait for stragglers too long nor miss its floor."""
-    fan_out = make()
+def test_completion_time(n_answered, now_ms, reason):
+    """An answer must not wait long for stragglers, nor end early below its floor."""
+    fan_out = make_fan_out()
     for call in calls_of(fan_out.handle(Begin(0.0)))[:n_answered]:
         fan_out.handle(answered(min(10.0, now_ms), call))
     fan_out.handle(TimerFired(now_ms))
     settled = [x.values[0] for x in fan_out.decisions if x.event.name == "SETTLED"]
-    assert settled == ([] if why is None else [why])
+    assert settled == ([] if reason is None else [reason])
 
 
-def test_request_that_cannot_reach_its_floor_ends_at_once():
-    """Holding a lost request would keep its caller from repeating it in time."""
-    fan_out = make(n_replicas=1)
+def test_request_that_cannot_reach_its_floor_fails_at_once():
+    """A late failure would leave the caller no time to repeat the request."""
+    fan_out = make_fan_out(n_replicas=1)
     calls = calls_of(fan_out.handle(Begin(0.0)))
     actions = []
     for call in calls[:2]:
@@ -211,11 +218,11 @@
     assert completion.failure.kind is COVERAGE_BELOW_FLOOR
 
 
-# (case, repeatable, what each call ends with, status passed on, run)
+# (case, repeatable, status or failure of each call, status passed on, run state)
 FORWARDS = [
     ("error of the only replicas", True, 500, 500, None),
     ("unrepeatable error", False, 500, 500, None),
-    ("unrepeatable cut", False, ANSWER_CUT, None, RunState.UNKNOWN),
+    ("unrepeatable truncated answer", False, ANSWER_CUT, None, RunState.UNKNOWN),
     ("unrepeatable shed", False, SHED_BY_UPSTREAM, None, RunState.NO),
 ]
 
@@ -226,8 +233,8 @@
     ids=[case[0] for case in FORWARDS],
 )
 def test_failed_forward(repeatable, ending, status, run):
-    """A replica's error is passed on; "not run" is said only where it is true."""
-    fan_out = make("forward", repeatable=repeatable)
+    """A replica's error is passed on; "not run" is reported only if proven."""
+    fan_out = make_fan_out("forward", repeatable=repeatable)
     pending = calls_of(fan_out.handle(Begin(0.0)))
     actions, n_calls, now_ms = [], 0, 1.0
     while not fan_out.is_complete:
--- a/chestnuthall/core/fanout/tests/test_shard_sets.py
+++ b/chestnuthall/core/fanout/tests/test_shard_sets.py
@@ -1,4 +1,8 @@
-"""Guards searches of which a peer answers for a set of shards."""
+"""Tests of searches in which a peer answers for a shard set.
+
+Guards against wrong coverage, repeated calls of the members of a set, and repeats
+that are counted at two instances.
+"""
 
 from dataclasses import replace
 
@@ -11,7 +15,7 @@
     answered,
     calls_of,
     completion_of,
-    make,
+    make_fan_out,
 )
 from chestnuthall.core.model import KeyRange, Replica, Reply, Shard, ShardAnswer
 from chestnuthall.core.results import (
@@ -34,10 +38,10 @@
     return (joined, *shards[N_MEMBERS:])
 
 
-def make_with_set():
-    whole = make(n_shards=N_SHARDS)
-    context = replace(whole.context, bundle=bundle)
-    return FanOut(whole.request, whole.partition_map, context)
+def make_fan_out_with_set():
+    fan_out = make_fan_out(n_shards=N_SHARDS)
+    context = replace(fan_out.context, bundle=bundle)
+    return FanOut(fan_out.request, fan_out.partition_map, context)
 
 
 def begin(fan_out):
@@ -47,9 +51,9 @@
     return sets[0], [call for call in calls if call.shard_set is None]
 
 
-def answered_by_peer(now_ms, call, n_parts):
+def answered_by_peer(now_ms, call, n_documents):
     reply = Reply(200, ((b"x", b"set"),), b"zz")
-    answer = ShardAnswer(call.call_id, call.shard_id, 7, (), n_parts, reply=reply)
+    answer = ShardAnswer(call.call_id, call.shard_id, 7, (), n_documents, reply=reply)
     return CallAnswered(now_ms, call.call_id, answer)
 
 
@@ -60,30 +64,30 @@
     return done
 
 
-def test_set_is_one_call_that_names_its_shards():
-    fan_out = make_with_set()
+def test_set_is_one_call_with_its_shard_ids():
+    fan_out = make_fan_out_with_set()
     call, single = begin(fan_out)
     assert call.shard_set.shard_ids == ("s0", "s1", "s2")
     assert call.replica in PEERS
     assert len(single) == N_SHARDS - N_MEMBERS
 
 
-def test_peer_may_leave_out_what_the_floor_of_the_whole_allows():
-    """A peer that waits for each straggler would make the whole answer late."""
-    call, _ = begin(make_with_set())
+def test_peer_may_leave_out_shards_as_the_coverage_floor_allows():
+    """A peer that waits for each straggler would delay the merged answer."""
+    call, _ = begin(make_fan_out_with_set())
     assert call.shard_set.n_missing_max == int((1.0 - FLOOR) * N_SHARDS)
 
 
-# (parts in the peer's answer, shards covered, whole answer)
-PARTS = [(3, 8, True), (2, 7, True), (1, 6, True), (4, 8, True)]
+# (documents in the peer's answer, shards covered, whether there is an answer)
+PEER_ANSWERS = [(3, 8, True), (2, 7, True), (1, 6, True), (4, 8, True)]
 
 
-@pytest.mark.parametrize(("n_parts", "n_covered", "is_answer"), PARTS)
-def test_parts_of_a_set_count_one_by_one(n_parts, n_covered, is_answer):
-    """Coverage must be what the peer's answer holds, not what it was asked for."""
-    fan_out = make_with_set()
+@pytest.mark.parametrize(("n_documents", "n_covered", "is_answer"), PEER_ANSWERS)
+def test_members_of_a_set_count_one_by_one(n_documents, n_covered, is_answer):
+    """Coverage must follow the peer's answer, not the requested shard set."""
+    fan_out = make_fan_out_with_set()
     call, single = begin(fan_out)
-    fan_out.handle(answered_by_peer(10.0, call, n_parts))
+    fan_out.handle(answered_by_peer(10.0, call, n_documents))
     done = answer_all(fan_out, single, 20.0)
     assert (done.failure is None) == is_answer
     assert done.coverage.n_shards_covered == n_covered
@@ -91,21 +95,21 @@
     assert len(done.parts) == N_SHARDS - N_MEMBERS + 1
 
 
-# (case, failure of the peer, calls that follow at once or by the timer, peer's or not)
+# (case, failure of the call to the peer, target of the next calls)
 FAILURES = [
     ("refused connection", CONNECTION_REFUSED, "peer"),
-    ("not run", SHED_BY_UPSTREAM, "peer"),
-    ("cut", ANSWER_CUT, "none"),
-    ("peer ended", CONNECTION_LOST, "none"),
+    ("shed", SHED_BY_UPSTREAM, "peer"),
+    ("truncated answer", ANSWER_CUT, "none"),
+    ("connection lost", CONNECTION_LOST, "none"),
 ]
 
 
 @pytest.mark.parametrize(
     ("kind", "expected"), [c[1:] for c in FAILURES], ids=[c[0] for c in FAILURES]
 )
-def test_set_is_offered_again_only_if_it_was_not_begun(kind, expected):
-    """A set that may have run has called replicas within the bound of attempts."""
-    fan_out = make_with_set()
+def test_set_is_sent_again_only_if_it_was_not_started(kind, expected):
+    """A peer may have called replicas, which count towards the replica limit."""
+    fan_out = make_fan_out_with_set()
     call, single = begin(fan_out)
     actions = fan_out.handle(CallFailed(5.0, call.call_id, kind.because("test")))
     actions += fan_out.handle(TimerFired(8.0))
@@ -121,8 +125,8 @@
     assert not fan_out.is_suspected(10.0)
 
 
-def test_set_that_no_peer_takes_is_called_from_here():
-    fan_out = make_with_set()
+def test_set_that_no_peer_accepts_is_expanded():
+    fan_out = make_fan_out_with_set()
     call, single = begin(fan_out)
     refused = CONNECTION_REFUSED.because("test")
     (second,) = calls_of(fan_out.handle(CallFailed(1.0, call.call_id, refused)))
@@ -133,8 +137,8 @@
     assert done.coverage.n_shards_total == N_SHARDS
 
 
-class CountedBudget:
-    """Notes the shards whose first calls were counted."""
+class RecordingBudget:
+    """Record the shards whose first calls were counted."""
 
     def __init__(self):
         self.earned = []
@@ -149,10 +153,10 @@
         return False
 
 
-def test_first_calls_count_where_they_are_made():
-    """A search that counted at two instances would allow twice its repeats."""
-    fan_out = make_with_set()
-    budget = CountedBudget()
+def test_first_calls_are_counted_by_the_calling_instance():
+    """A search that is counted by two instances would double its allowed repeats."""
+    fan_out = make_fan_out_with_set()
+    budget = RecordingBudget()
     fan_out.context = replace(fan_out.context, budget=budget)
     call, _ = begin(fan_out)
     singles = [f"s{i}" for i in range(N_MEMBERS, N_SHARDS)]
@@ -164,8 +168,8 @@
 
 
 def test_set_is_not_hedged():
-    """Its second run would be a repeat at each of its shards."""
-    fan_out = make_with_set()
+    """A second call would repeat the search on each member of the set."""
+    fan_out = make_fan_out_with_set()
     begin(fan_out)
     hedges = calls_of(fan_out.handle(TimerFired(SOFT_DEADLINE_MS - 1.0)))
     assert hedges
@@ -173,7 +177,7 @@
 
 
 def test_suspected_request_is_not_bundled():
-    fan_out = make_with_set()
+    fan_out = make_fan_out_with_set()
     replica = fan_out.partition_map.shards[0].replicas[0]
     fan_out.context.quarantine.record_loss("f", replica, "s0", 0.0, 0.0)
     fan_out.handle(Begin(1.0))
--- a/chestnuthall/core/fanout/tests/test_stragglers.py
+++ b/chestnuthall/core/fanout/tests/test_stragglers.py
@@ -1,4 +1,8 @@
-"""Guards hedges, retries and replans of one fan-out."""
+"""Tests of hedges, retries and replans of one fan-out.
+
+Guards against stragglers without a hedge, lost coverage for lack of credit, and
+suspected requests that run on several replicas.
+"""
 
 from dataclasses import replace
 
@@ -40,8 +44,8 @@
 
 
 @pytest.mark.parametrize("lacking", ["credit", "slot"])
-def test_hedge_is_made_later_if_it_cannot_be_made_when_due(lacking):
-    """A moment without credit or a free slot must not leave a straggler alone."""
+def test_withheld_hedge_is_made_later(lacking):
+    """A brief lack of credit or slots must not leave a straggler without a hedge."""
     fan_out, (call,) = begin(credit=-9.0 if lacking == "credit" else 5.0)
     router = fan_out.context.router
     others = [r for r in fan_out.partition_map.shards[0].replicas if r != call.replica]
@@ -56,8 +60,8 @@
     assert calls_of(fan_out.handle(TimerFired(HEDGE_DELAY_MS + 60.0))) == []
 
 
-def test_loser_of_a_hedge_is_cancelled():
-    """The losing call must not go on to use a slot."""
+def test_slower_call_is_cancelled_after_a_hedge_is_answered():
+    """A call whose answer is no longer needed must not occupy a slot."""
     fan_out, (call, _) = begin(n_shards=2)
     hedges = calls_of(fan_out.handle(TimerFired(HEDGE_DELAY_MS)))
     (hedge,) = [item for item in hedges if item.shard_id == call.shard_id]
@@ -67,7 +71,7 @@
 
 
 def test_suspected_request_is_not_hedged():
-    """A request that lost a replica must not run on a second one unannounced."""
+    """A suspected request must not run on a second replica without notice to peers."""
     fan_out, (first, _) = begin(n_shards=2)
     lost = CONNECTION_LOST.because("x")
     assert calls_of(fan_out.handle(CallFailed(1.0, first.call_id, lost))) == []
@@ -77,23 +81,23 @@
 @pytest.mark.parametrize(
     ("failure", "n_retried"),
     [
-        pytest.param(NO_REPLICA.because("x"), 1, id="nothing-written-is-free"),
-        pytest.param(SNAPSHOT_GONE.because("x"), 1, id="refused-snapshot-is-free"),
+        pytest.param(NO_REPLICA.because("x"), 1, id="nothing-written"),
+        pytest.param(SNAPSHOT_GONE.because("x"), 1, id="snapshot-refused"),
     ],
 )
 def test_retry_without_upstream_work_needs_no_credit(failure, n_retried):
-    """A call that no replica began must not cost coverage for want of credit."""
+    """A call that no replica started must be retried even without credit."""
     fan_out, (call,) = begin(credit=-20.0)
     actions = fan_out.handle(CallFailed(1.0, call.call_id, failure))
     assert len(calls_of(actions)) == n_retried
 
 
 def test_query_ends_at_its_deadline_while_it_waits_for_a_map():
-    """A slow answer about newer maps must not hold a query past its deadline."""
+    """A slow search for another map must not delay a query past its deadline."""
     fan_out, (first, second) = begin(n_shards=2, n_replicas=1)
     fan_out.handle(CallAnswered(1.0, first.call_id, answer_to(first)))
-    gone = SNAPSHOT_GONE.because("swapped")
-    fan_out.handle(CallFailed(2.0, second.call_id, gone))
+    unavailable = SNAPSHOT_GONE.because("swapped")
+    fan_out.handle(CallFailed(2.0, second.call_id, unavailable))
     completion = completion_of(fan_out.handle(TimerFired(DEADLINE_MS)))
     assert completion.coverage.n_documents_covered == 100
 
@@ -106,20 +110,20 @@
         pytest.param(True, DEADLINE_MS - 10.0, 0, id="too-late-to-start-over"),
     ],
 )
-def test_good_old_answer_is_kept_unless_a_newer_one_is_better(
+def test_answer_is_kept_unless_a_new_snapshot_promises_more(
     is_loaded, now_ms, n_replanned
 ):
-    """Starting over must not turn two thirds of an answer into less."""
+    """Starting over must not replace two thirds of the coverage by less."""
     fan_out, (first, second, third) = begin(n_shards=3, n_replicas=1, floor=0.5)
     for call in (first, second):
         fan_out.handle(CallAnswered(1.0, call.call_id, answer_to(call)))
-    gone = SNAPSHOT_GONE.because("swapped")
-    fan_out.handle(CallFailed(2.0, third.call_id, gone))
-    another = make_map(3, 1, snapshot_id=2)
+    unavailable = SNAPSHOT_GONE.because("swapped")
+    fan_out.handle(CallFailed(2.0, third.call_id, unavailable))
+    new_map = make_map(3, 1, snapshot_id=2)
     if not is_loaded:
-        for shard in another.shards:
+        for shard in new_map.shards:
             fan_out.context.router.state_of(shard.replicas[0].name).note_missing(2, 2.0)
-    actions = fan_out.handle(MapReplaced(now_ms, another))
+    actions = fan_out.handle(MapReplaced(now_ms, new_map))
     assert len(calls_of(actions)) == n_replanned
     completion = completion_of(actions)
     assert (completion is None) == (n_replanned > 0)
@@ -128,8 +132,8 @@
         assert completion.coverage.n_documents_covered == 200
 
 
-def test_probe_leaves_the_zone_that_lost_a_replica():
-    """The verdict must not come from a zone that is failing."""
+def test_probe_avoids_the_zone_that_lost_a_replica():
+    """A replica in a failing zone could be lost even if the request is harmless."""
     fan_out, _ = begin()
     (shard,) = fan_out.partition_map.shards
     zones = ("z", "z", "other")
@@ -138,7 +142,7 @@
     partition_map = PartitionMap("g", 1, (replace(shard, replicas=replicas),))
     fan_out = make_fan_out(partition_map=partition_map)
     router = fan_out.context.router
-    # The last replica is chosen only to leave the zone of the others.
+    # The last replica is busier, so only its zone can be the reason to choose it.
     occupy(router, replicas[2:], 2)
     (call,) = calls_of(fan_out.handle(Begin(0.0)))
     fan_out.handle(CallFailed(1.0, call.call_id, CONNECTION_LOST.because("x")))
