--- a/chestnuthall/core/accounts/__init__.py
+++ b/chestnuthall/core/accounts/__init__.py
@@ -1,4 +1,4 @@
-"""Explains one account, or the order of two, in plain sentences."""
+"""Explanations in plain sentences of one account or of the order of two."""
 
 from chestnuthall.core.accounts._explain import (
     Confidence,
--- a/chestnuthall/core/accounts/_explain.py
+++ b/chestnuthall/core/accounts/_explain.py
@@ -1,4 +1,4 @@
-"""Plain sentences about accounts."""
+"""Explain accounts of requests in plain sentences."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -8,12 +8,12 @@
 from chestnuthall.core.model import Account, AdmissionRule, EnvironmentDocument
 from chestnuthall.core.results import ResultCode
 
-# Clocks kept by a time service on one network usually agree within this time.
+# Usual maximum error of a clock that is synchronised over the local network.
 CLOCK_ERROR_MS: Final = 50.0
 
 
 class Verdict(Enum):
-    """Whether an order was right by the document."""
+    """Whether the order of two requests was right according to the document."""
 
     RIGHT = "right"
     WRONG = "wrong"
@@ -21,7 +21,7 @@
 
 
 class Confidence(Enum):
-    """How sure a verdict is."""
+    """Degree of certainty of a verdict."""
 
     CERTAIN = "certain"
     LIKELY = "likely"
@@ -30,10 +30,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Explanation:
-    """What accounts say; the requests are called A and B.
+    """Explanation of one request, or of the order of two, called A and B.
 
-    ``rule`` is the rule that decided the order; None if none did. The
-    sentences name classes only, never a caller, a query or a request id.
+    ``rule`` is the rule that decided the order, or None if no rule did. To
+    protect the privacy of callers, the sentences contain class names, but never a
+    caller, a query or a request id.
     """
 
     sentences: tuple[str, ...]
@@ -42,8 +43,8 @@
     confidence: Confidence = Confidence.UNSURE
 
 
-_RULES: Final = {
-    AdmissionRule.IMMEDIATE: "there was room, so it did not wait",
+_RULE_TEXTS: Final = {
+    AdmissionRule.IMMEDIATE: "capacity was free, so it did not wait",
     AdmissionRule.URGENCY_WITHIN_SHARE: (
         "its class was within its share, and the most urgent of those"
     ),
@@ -53,14 +54,14 @@
     AdmissionRule.LEAST_NORMALISED_SERVICE: (
         "its class had received the least service for its share"
     ),
-    AdmissionRule.RESERVED_ROOM: "there was room reserved for its kind of request",
+    AdmissionRule.RESERVED_ROOM: "capacity was reserved for its kind of request",
     AdmissionRule.ONLY_CANDIDATE: "no other class had a query waiting",
     AdmissionRule.NOT_ADMITTED: "it was not admitted",
 }
 
 
 def explain_one(account: Account, name: str = "A") -> Explanation:
-    """Explain when a request was served, or why it was not."""
+    """Explain when and how a request was served, or why it was not."""
     sentences = [
         f"{name} is a {account.kind} of class {account.class_name} on group"
         f" {account.group}, served by instance {account.instance} under revision"
@@ -79,7 +80,7 @@
 
 def _admission_sentence(account: Account, name: str) -> str:
     admission = account.admission
-    reason = _RULES.get(admission.rule, admission.rule.value)
+    reason = _RULE_TEXTS.get(admission.rule, admission.rule.value)
     if account.admitted_wall_ms is None:
         return f"{name} was not admitted after {admission.queued_ms:.1f} ms."
     return (
@@ -131,25 +132,25 @@
             confidence=Confidence.CERTAIN,
         )
     first, later, first_name, later_name = _by_admission(a, b)
-    opening = _opening(first, later, first_name, later_name)
-    unsure = _doubts(first, later, revision, clock_error_ms)
-    confidence = _confidence(first, later, unsure)
+    order_sentence = _order_sentence(first, later, first_name, later_name)
+    doubts = _doubts(first, later, revision, clock_error_ms)
+    confidence = _confidence(first, later, doubts)
     if not _both_waited(first, later):
         sentences = (
-            opening,
+            order_sentence,
             f"{later_name} arrived after {first_name} had been admitted, so no rule"
             " had to choose between them.",
-            *unsure,
+            *doubts,
         )
         return Explanation(sentences, None, Verdict.RIGHT, confidence)
     expected = expected_order(first, later, first, document)
     rule = _deciding_rule(first, later)
     verdict = _verdict(expected, rule, first, document)
     sentences = (
-        opening,
-        f"The rule that decided was {rule.value}: {_RULES.get(rule, rule.value)}.",
+        order_sentence,
+        f"The rule that decided was {rule.value}: {_RULE_TEXTS.get(rule, rule.value)}.",
         _verdict_sentence(verdict, expected, first, rule),
-        *unsure,
+        *doubts,
     )
     return Explanation(sentences, rule, verdict, confidence)
 
@@ -161,28 +162,30 @@
     return (a, b, "A", "B") if at_a <= at_b else (b, a, "B", "A")
 
 
-def _opening(first: Account, later: Account, first_name: str, later_name: str) -> str:
-    start = (
+def _order_sentence(
+    first: Account, later: Account, first_name: str, later_name: str
+) -> str:
+    sentence = (
         f"{first_name} (class {first.class_name}) went before"
         f" {later_name} (class {later.class_name})"
     )
     if first.admitted_wall_ms is None or later.admitted_wall_ms is None:
-        return f"{start}, which was not admitted."
+        return f"{sentence}, which was not admitted."
     gap_ms = later.admitted_wall_ms - first.admitted_wall_ms
-    return f"{start} by {gap_ms:.1f} ms."
+    return f"{sentence} by {gap_ms:.1f} ms."
 
 
 def _both_waited(first: Account, later: Account) -> bool:
-    """Return whether the later one had arrived when the first was admitted."""
+    """Return whether the later request had arrived when the first was admitted."""
     admitted_ms = first.admitted_wall_ms
     return admitted_ms is not None and later.arrived_wall_ms <= admitted_ms
 
 
 def _deciding_rule(first: Account, later: Account) -> AdmissionRule:
-    """Return the rule by which the first one's class went ahead.
+    """Return the rule by which the class of the first request went ahead.
 
-    The later account lists what went ahead of it, by class and rule; without
-    such an entry, the rule that admitted the first one stands.
+    The later account lists the queries that went ahead of it, by class and rule.
+    Without an entry for the class, return the rule that admitted the first request.
     """
     if first.instance == later.instance:
         for item in later.admission.ahead:
@@ -200,8 +203,8 @@
     if rule is AdmissionRule.RESERVED_ROOM:
         group = document.group_named(first.group)
         reserved = dict(group.reserved_ratios) if group is not None else {}
-        has_room = reserved.get(first.kind, 0.0) > 0.0
-        return Verdict.RIGHT if has_room else Verdict.WRONG
+        has_reservation = reserved.get(first.kind, 0.0) > 0.0
+        return Verdict.RIGHT if has_reservation else Verdict.WRONG
     if expected.a_first is None:
         return Verdict.CANNOT_TELL
     return Verdict.RIGHT if expected.a_first else Verdict.WRONG
@@ -211,14 +214,14 @@
     verdict: Verdict, expected: ExpectedOrder, first: Account, rule: AdmissionRule
 ) -> str:
     if rule is AdmissionRule.RESERVED_ROOM:
-        word = "is" if verdict is Verdict.RIGHT else "is not"
-        return f"A part of group {first.group} {word} reserved for {first.kind}."
-    openings = {
+        verb = "is" if verdict is Verdict.RIGHT else "is not"
+        return f"Capacity of group {first.group} {verb} reserved for {first.kind}."
+    verdict_texts = {
         Verdict.RIGHT: "By the document the order was right",
         Verdict.WRONG: "By the document the order was wrong",
-        Verdict.CANNOT_TELL: "Whether the order was right cannot be told",
+        Verdict.CANNOT_TELL: "Whether the order was right cannot be determined",
     }
-    return f"{openings[verdict]}: {expected.because}."
+    return f"{verdict_texts[verdict]}: {expected.reason}."
 
 
 def _doubts(
@@ -232,8 +235,8 @@
         )
         if _gap_ms(first, later) <= 2.0 * clock_error_ms:
             doubts.append(
-                f"Their times differ by less than clocks may ({clock_error_ms:.0f} ms"
-                " each), so the order itself is not sure."
+                "Their times differ by no more than the error of two clocks"
+                f" ({clock_error_ms:.0f} ms each), so the order itself is uncertain."
             )
     revisions = {first.configuration_revision, later.configuration_revision}
     if revisions != {revision}:
@@ -254,5 +257,5 @@
 def _confidence(first: Account, later: Account, doubts: list[str]) -> Confidence:
     if not doubts:
         return Confidence.CERTAIN
-    is_one_doubt_of_place = first.instance != later.instance and len(doubts) == 1
-    return Confidence.LIKELY if is_one_doubt_of_place else Confidence.UNSURE
+    is_other_instance_only_doubt = first.instance != later.instance and len(doubts) == 1
+    return Confidence.LIKELY if is_other_instance_only_doubt else Confidence.UNSURE
--- a/chestnuthall/core/accounts/tests/test_explain.py
+++ b/chestnuthall/core/accounts/tests/test_explain.py
@@ -1,4 +1,8 @@
-"""Guards explanations against a wrong rule, verdict or degree of certainty."""
+"""Tests of the explanations of accounts.
+
+Guards against a wrong rule, verdict or confidence, and against texts that reveal the
+request of another caller.
+"""
 
 from dataclasses import replace
 
@@ -17,7 +21,7 @@
 )
 
 RULE = AdmissionRule
-IN, OUT = True, False
+WITHIN, OVER = True, False
 
 
 def caller_class(name, urgency):
@@ -44,9 +48,9 @@
 )
 
 
-def served(class_name, arrived, admitted, rule, standings=(), **changes):
-    """Return an account; standings are (class, within share, service)."""
-    told = tuple(
+def make_account(class_name, arrived, admitted, rule, standings=(), **changes):
+    """Return an account; ``standings`` are (class, within share, service)."""
+    class_standings = tuple(
         ClassStanding(name, 1.0, 0, service, 1, within)
         for name, within, service in standings
     )
@@ -56,21 +60,23 @@
         class_name=class_name,
         arrived_wall_ms=arrived,
         admitted_wall_ms=admitted,
-        admission=AdmissionAccount(rule, admitted - arrived, 1, told, ahead),
+        admission=AdmissionAccount(rule, admitted - arrived, 1, class_standings, ahead),
         **changes,
     )
 
 
-BOTH_IN = (("urgent", IN, 1.0), ("batch", IN, 1.0))
-URGENT_OUT = (("urgent", OUT, 9.0), ("batch", IN, 1.0))
-BOTH_OUT = (("urgent", OUT, 9.0), ("batch", OUT, 5.0))
-URGENT = served("urgent", 10.0, 50.0, RULE.URGENCY_WITHIN_SHARE, BOTH_IN)
-BATCH = served("batch", 0.0, 90.0, RULE.ONLY_CANDIDATE, BOTH_IN)
-BATCH_FIRST = served("batch", 0.0, 40.0, RULE.URGENCY_WITHIN_SHARE, BOTH_IN)
-BATCH_BY_SERVICE = served("batch", 0.0, 40.0, RULE.LEAST_NORMALISED_SERVICE, BOTH_OUT)
+BOTH_WITHIN = (("urgent", WITHIN, 1.0), ("batch", WITHIN, 1.0))
+URGENT_OVER = (("urgent", OVER, 9.0), ("batch", WITHIN, 1.0))
+BOTH_OVER = (("urgent", OVER, 9.0), ("batch", OVER, 5.0))
+URGENT = make_account("urgent", 10.0, 50.0, RULE.URGENCY_WITHIN_SHARE, BOTH_WITHIN)
+BATCH = make_account("batch", 0.0, 90.0, RULE.ONLY_CANDIDATE, BOTH_WITHIN)
+BATCH_FIRST = make_account("batch", 0.0, 40.0, RULE.URGENCY_WITHIN_SHARE, BOTH_WITHIN)
+BATCH_BY_SERVICE = make_account(
+    "batch", 0.0, 40.0, RULE.LEAST_NORMALISED_SERVICE, BOTH_OVER
+)
 AHEAD = (QueriesAhead("urgent", 3, RULE.DEADLINE_WITHIN_SHARE),)
 
-# (case, A, B, rule, verdict, confidence, part of a sentence)
+# (case, (A, B), (rule, verdict, confidence), text in one of the sentences)
 CASES = [
     (
         "more urgent first",
@@ -86,7 +92,7 @@
     ),
     (
         "the more urgent class had used its share",
-        (URGENT, served("batch", 0.0, 40.0, RULE.ONLY_CANDIDATE, URGENT_OUT)),
+        (URGENT, make_account("batch", 0.0, 40.0, RULE.ONLY_CANDIDATE, URGENT_OVER)),
         (RULE.ONLY_CANDIDATE, Verdict.RIGHT, Confidence.CERTAIN),
         "class batch was within its share",
     ),
@@ -103,13 +109,16 @@
         "the earlier deadline goes first",
     ),
     (
-        "the later account names the rule",
-        (URGENT, served("batch", 0.0, 90.0, RULE.IMMEDIATE, BOTH_IN, ahead=AHEAD)),
+        "rule from the later account",
+        (
+            URGENT,
+            make_account("batch", 0.0, 90.0, RULE.IMMEDIATE, BOTH_WITHIN, ahead=AHEAD),
+        ),
         (RULE.DEADLINE_WITHIN_SHARE, Verdict.RIGHT, Confidence.CERTAIN),
         "deadline_within_share",
     ),
     (
-        "room reserved for the kind",
+        "capacity reserved for the kind",
         (
             replace(URGENT, admission=AdmissionAccount(RULE.RESERVED_ROOM, 1.0, 1)),
             BATCH,
@@ -125,7 +134,7 @@
     ),
     (
         "no standings",
-        (served("urgent", 10.0, 50.0, RULE.IMMEDIATE), BATCH),
+        (make_account("urgent", 10.0, 50.0, RULE.IMMEDIATE), BATCH),
         (RULE.IMMEDIATE, Verdict.CANNOT_TELL, Confidence.CERTAIN),
         "does not show the standing",
     ),
@@ -133,7 +142,7 @@
         "two instances, times close together",
         (URGENT, replace(BATCH, instance="entry-1")),
         (RULE.URGENCY_WITHIN_SHARE, Verdict.RIGHT, Confidence.UNSURE),
-        "the order itself is not sure",
+        "the order itself is uncertain",
     ),
     (
         "two instances, times far apart",
@@ -164,21 +173,27 @@
 
 @pytest.mark.parametrize("is_swapped", [False, True])
 @pytest.mark.parametrize(
-    ("accounts", "expected", "part"),
+    ("accounts", "expected", "text"),
     [case[1:] for case in CASES],
     ids=[case[0] for case in CASES],
 )
-def test_order_of_two(accounts, expected, part, is_swapped):
-    """The result must not depend on which account is named first."""
+def test_explanation_of_two_accounts(accounts, expected, text, is_swapped):
+    """The explanation must not depend on which account is passed first."""
     a, b = reversed(accounts) if is_swapped else accounts
-    told = explain_two(a, b, DOCUMENT, 1)
-    assert (told.rule, told.verdict, told.confidence) == expected, told.sentences
-    assert any(part in sentence for sentence in told.sentences), told.sentences
+    explanation = explain_two(a, b, DOCUMENT, 1)
+    assert (
+        explanation.rule,
+        explanation.verdict,
+        explanation.confidence,
+    ) == expected, explanation.sentences
+    assert any(text in sentence for sentence in explanation.sentences), (
+        explanation.sentences
+    )
 
 
-def test_explanation_names_no_request():
-    """Guards one caller's privacy against the other's explanation."""
+def test_explanation_contains_no_request_id():
+    """An explanation must not reveal the request id of another caller."""
     a = replace(URGENT, request_id="caller-x-1")
     b = replace(BATCH, request_id="caller-y-2")
-    told = [*explain_two(a, b, DOCUMENT, 1).sentences, *explain_one(a).sentences]
-    assert not any("caller-" in sentence for sentence in told)
+    sentences = [*explain_two(a, b, DOCUMENT, 1).sentences, *explain_one(a).sentences]
+    assert not any("caller-" in sentence for sentence in sentences)
