--- a/chestnuthall/core/results/__init__.py
+++ b/chestnuthall/core/results/__init__.py
@@ -1,4 +1,4 @@
-"""Numbered result codes and failures as values."""
+"""Numbered result codes, and failures that are returned as values."""
 
 from chestnuthall.core.results._codes import Repeat, ResultCode, RunState
 from chestnuthall.core.results._failures import (
--- a/chestnuthall/core/results/_codes.py
+++ b/chestnuthall/core/results/_codes.py
@@ -1,4 +1,4 @@
-"""Numbers of the result codes, in blocks of one thousand by cause."""
+"""Result codes, numbered in blocks of one thousand by cause."""
 
 from enum import Enum, IntEnum
 
@@ -6,9 +6,9 @@
 class ResultCode(IntEnum):
     """Number that identifies a result in answers, logs and metrics.
 
-    1xxx is success, 2xxx a fault of the request, 3xxx a refusal for load or
-    policy, 4xxx a fault of an upstream, 5xxx a fault of the object store or of
-    a claim, and 9xxx a defect. Numbers are never reused.
+    1xxx is success, 2xxx an error in the request, 3xxx a refusal due to load or
+    policy, 4xxx an error of an upstream, 5xxx an error of the object store or of
+    a claim, and 9xxx an internal error. Numbers are never reused.
     """
 
     OK = 1000
@@ -58,7 +58,7 @@
 
 
 class RunState(Enum):
-    """What a result says about whether any upstream ran the request."""
+    """Whether any upstream ran the request, as far as the result proves it."""
 
     NO = "no"
     YES = "yes"
@@ -66,11 +66,11 @@
 
 
 class Repeat(Enum):
-    """What a caller may do after a result.
+    """Whether a caller may repeat a request after a result.
 
-    ``SAFE`` allows the same request again; ``NEW_KEY`` allows it with a new
-    idempotency key; ``ASK`` means that the outcome has to be looked up first;
-    ``NEVER`` means that a repeat cannot succeed.
+    ``SAFE`` permits a repeat of the same request; ``NEW_KEY`` permits it with a
+    new idempotency key; ``ASK`` means that the caller has to look up the outcome
+    first; ``NEVER`` means that a repeat cannot succeed.
     """
 
     SAFE = "safe"
--- a/chestnuthall/core/results/_failures.py
+++ b/chestnuthall/core/results/_failures.py
@@ -1,4 +1,4 @@
-"""Failures as values: a sentinel that names the kind, and a reason."""
+"""Failures as values, each with a sentinel for its kind and a reason."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -10,8 +10,8 @@
 class FailureKind:
     """Sentinel for one kind of failure, compared with ``is``.
 
-    ``run`` and ``repeat`` hold for the request as a whole when this kind is
-    its final result. ``http_status`` is the status line sent to the caller.
+    ``run`` and ``repeat`` describe the whole request when this kind is its final
+    result. ``http_status`` is the HTTP status code sent to the caller.
     """
 
     code: ResultCode
@@ -61,7 +61,7 @@
     repeat: Repeat,
     summary: str,
 ) -> FailureKind:
-    """Create the only sentinel of a result code and add it to the table."""
+    """Create the sentinel of a result code and register it in ``FAILURE_KINDS``."""
     if code in FAILURE_KINDS:
         raise ValueError(f"result code {code.name} is defined twice")
     kind = FailureKind(code, http_status, run, repeat, summary)
--- a/chestnuthall/core/results/_kinds.py
+++ b/chestnuthall/core/results/_kinds.py
@@ -1,4 +1,7 @@
-"""The sentinels of all kinds of failure; docs/result-codes.md tables them."""
+"""Sentinels of all kinds of failure.
+
+Each one has a row in docs/result-codes.md, which repeats its summary word for word.
+"""
 
 from typing import Final
 
--- a/chestnuthall/core/results/tests/test_table.py
+++ b/chestnuthall/core/results/tests/test_table.py
@@ -1,4 +1,8 @@
-"""Guards against a result code that the docs do not describe."""
+"""Tests of the table of failure kinds.
+
+Guards against a result code without a failure kind, and against documentation that
+differs from the code.
+"""
 
 from pathlib import Path
 
@@ -6,16 +10,16 @@
 
 from chestnuthall.core.results import FAILURE_KINDS, ResultCode
 
-TABLE = Path(__file__).parents[4] / "docs" / "result-codes.md"
+RESULT_CODES_PAGE = Path(__file__).parents[4] / "docs" / "result-codes.md"
 
 
 @pytest.mark.parametrize("kind", FAILURE_KINDS.values(), ids=lambda kind: kind.name)
-def test_docs_row_equals_code(kind):
+def test_docs_row_matches_failure_kind(kind):
     row = (
         f"| {int(kind.code)} | `{kind.name}` | {kind.http_status}"
         f" | {kind.run.value} | {kind.repeat.value} | {kind.summary} |"
     )
-    assert row in TABLE.read_text().splitlines()
+    assert row in RESULT_CODES_PAGE.read_text().splitlines()
 
 
 def test_every_code_has_a_kind_or_is_success():
