--- a/chestnuthall/core/accounts/_explain.py
+++ b/chestnuthall/core/accounts/_explain.py
@@ -257,5 +257,5 @@
 def _confidence(first: Account, later: Account, doubts: list[str]) -> Confidence:
     if not doubts:
         return Confidence.CERTAIN
-    is_other_instance_only_doubt = first.instance != later.instance and len(doubts) == 1
-    return Confidence.LIKELY if is_other_instance_only_doubt else Confidence.UNSURE
+    only_instances_differ = first.instance != later.instance and len(doubts) == 1
+    return Confidence.LIKELY if only_instances_differ else Confidence.UNSURE
--- a/chestnuthall/core/fanout/_handlers.py
+++ b/chestnuthall/core/fanout/_handlers.py
@@ -161,7 +161,7 @@
     if progress.running:
         return []
     if not _may_retry(state, progress, failure, now_ms):
-        state.give_up(progress, "no attempt left", now_ms)
+        state.fail_shard(progress, "no attempt left", now_ms)
         # Deferred shards must not wait for a probe that will not be repeated.
         return probes.resolve_deferred(state, now_ms) if running.is_probe else []
     if failure.kind is SNAPSHOT_GONE and not _has_untried_replica_with_snapshot(
@@ -185,7 +185,7 @@
     context = state.context
     # A peer that terminates does not indicate that the request crashes replicas.
     is_replica_loss = failure.kind is CONNECTION_LOST and not progress.shard.members
-    is_explained = is_replica_loss and state.is_suspected(now_ms)
+    is_attributed_to_request = is_replica_loss and state.is_suspected(now_ms)
     if is_replica_loss:
         progress.has_lost_replica = True
         context.quarantine.record_loss(
@@ -202,7 +202,7 @@
         running.call.snapshot_id,
         running.started_ms,
         now_ms,
-        is_explained=is_explained,
+        is_explained=is_attributed_to_request,
         work=state.work_of(progress),
     )
 
@@ -234,7 +234,7 @@
     budget = state.context.budget
     shard_id = progress.shard.shard_id
     if not is_free and not budget.try_take_retry(shard_id, now_ms, may_overdraw):
-        state.give_up(progress, "budget", now_ms)
+        state.fail_shard(progress, "budget", now_ms)
         return []
     state.n_retries += 1
     if failure.kind is SHED_BY_UPSTREAM:
@@ -257,7 +257,7 @@
 
 def _request_replan(state: FanOutState, progress: ShardProgress) -> list[Action]:
     """Request another map; calls of other shards continue in case there is none."""
-    progress.is_given_up = True
+    progress.has_failed = True
     if state.is_replanning or not state.may_replan():
         return []
     state.gone_snapshot_ids.append(state.partition_map.snapshot_id)
--- a/chestnuthall/core/fanout/_probes.py
+++ b/chestnuthall/core/fanout/_probes.py
@@ -55,7 +55,7 @@
 
 
 def start_probe(state: FanOutState, now_ms: float) -> list[Action]:
-    """Call one deferred shard as the probe; give all up if none can be called."""
+    """Call one deferred shard as the probe; fail all of them if none can be called."""
     for progress in deferred_shards(state):
         replica = _choose_probe_replica(state, progress, now_ms)
         if replica is None or progress.n_attempts >= N_ATTEMPTS_MAX:
@@ -66,7 +66,7 @@
         state.probe_step = ProbeStep.RUNNING
         return [state.start(progress, replica, now_ms, PROBE_REASON)]
     for progress in deferred_shards(state):
-        _give_up(state, progress, now_ms)
+        _fail_deferred(state, progress, now_ms)
     return []
 
 
@@ -104,9 +104,9 @@
     return True
 
 
-def _give_up(state: FanOutState, progress: ShardProgress, now_ms: float) -> None:
+def _fail_deferred(state: FanOutState, progress: ShardProgress, now_ms: float) -> None:
     progress.is_deferred = False
-    state.give_up(progress, "no verdict on a suspected request", now_ms)
+    state.fail_shard(progress, "no verdict on a suspected request", now_ms)
 
 
 def on_probe_answered(state: FanOutState, now_ms: float) -> list[Action]:
@@ -125,20 +125,20 @@
 
 
 def resolve_deferred(state: FanOutState, now_ms: float) -> list[Action]:
-    """Continue with the deferred shards, or give them up.
+    """Continue with the deferred shards, or fail them.
 
     Shards of a cleared request are called as far as attempts and credit allow;
-    shards of a quarantined request are given up. If the request is still
-    suspected, the next probe is reserved instead.
+    shards of a quarantined request fail. If the request is still suspected, the
+    next probe is reserved instead.
     """
     if state.is_suspected(now_ms) and not state.is_quarantined(now_ms):
         return reserve_probe(state, now_ms)
     is_quarantined = state.is_quarantined(now_ms)
     actions: list[Action] = []
     for progress in deferred_shards(state):
-        may_go_on = not is_quarantined and progress.n_attempts < N_ATTEMPTS_MAX
-        if not may_go_on or not _acquire_retry_credit(state, progress, now_ms):
-            _give_up(state, progress, now_ms)
+        may_continue = not is_quarantined and progress.n_attempts < N_ATTEMPTS_MAX
+        if not may_continue or not _acquire_retry_credit(state, progress, now_ms):
+            _fail_deferred(state, progress, now_ms)
             continue
         progress.is_deferred = False
         actions += state.try_dispatch(progress, now_ms)
--- a/chestnuthall/core/fanout/_progress.py
+++ b/chestnuthall/core/fanout/_progress.py
@@ -31,7 +31,7 @@
     """Progress of one shard of the pinned map.
 
     ``retry_at_ms`` is set while the shard waits for its next attempt;
-    ``is_given_up`` means that no further attempt will be made, and
+    ``has_failed`` means that no further attempt will be made, and
     ``is_deferred`` that the shard waits for the verdict on a suspected request.
     ``has_lost_replica`` means that a replica of the shard was lost while it ran
     the request. The next attempt skips the replicas in ``tried_names``;
@@ -46,7 +46,7 @@
     n_attempts: int = 0
     is_hedged: bool = False
     is_hedge_withheld: bool = False
-    is_given_up: bool = False
+    has_failed: bool = False
     is_deferred: bool = False
     has_lost_replica: bool = False
     hedge_not_before_ms: float = float("-inf")
@@ -55,12 +55,12 @@
     @property
     def is_finished(self) -> bool:
         """Whether the shard has an answer or will not get one."""
-        return self.answer is not None or (self.is_given_up and not self.running)
+        return self.answer is not None or (self.has_failed and not self.running)
 
     @property
-    def has_failed(self) -> bool:
+    def is_without_answer(self) -> bool:
         """Whether the shard ended without an answer."""
-        return self.answer is None and self.is_given_up and not self.running
+        return self.answer is None and self.has_failed and not self.running
 
     @property
     def oldest_call(self) -> RunningCall | None:
--- a/chestnuthall/core/fanout/_state.py
+++ b/chestnuthall/core/fanout/_state.py
@@ -90,7 +90,7 @@
         self.shards: dict[str, ShardProgress] = {}
         self.is_complete = False
         self.is_replanning = False
-        self.has_given_up_shards = False
+        self.has_failed_shards = False
         self.probe_step = ProbeStep.NONE
         self.gone_snapshot_ids: list[int] = []
         self.last_failure: Failure | None = None
@@ -114,10 +114,10 @@
         """Record a decision for the decision log."""
         self.decisions.append(Decision(now_ms, event, values))
 
-    def give_up(self, progress: ShardProgress, reason: str, now_ms: float) -> None:
-        """Make no further attempt at a shard; a running call may still answer."""
-        progress.is_given_up = True
-        self.has_given_up_shards = True
+    def fail_shard(self, progress: ShardProgress, reason: str, now_ms: float) -> None:
+        """Stop further attempts at a shard; a running call may still be answered."""
+        progress.has_failed = True
+        self.has_failed_shards = True
         shard_id = progress.shard.shard_id
         self.record_decision(
             DecisionEvent.SHARD_GIVEN_UP, now_ms, shard_id, progress.n_attempts, reason
@@ -166,7 +166,7 @@
         return actions
 
     def try_dispatch(self, progress: ShardProgress, now_ms: float) -> list[Action]:
-        """Start a call of a shard, or give the shard up if no replica can be called."""
+        """Start a call of a shard, or fail the shard if no replica can be called."""
         progress.retry_at_ms = None
         if progress.shard.members:
             return self._dispatch_set(progress, now_ms)
@@ -175,7 +175,7 @@
             progress.tried_names.clear()
             replica = self._choose(progress, now_ms)
         if replica is None:
-            self.give_up(progress, "no replica", now_ms)
+            self.fail_shard(progress, "no replica", now_ms)
             return []
         reason = "retry" if progress.n_attempts else "first"
         return [self.start(progress, replica, now_ms, reason)]
@@ -340,10 +340,12 @@
 
     @property
     def may_reach_floor(self) -> bool:
-        """Whether the shards that are not given up could still reach the floor."""
-        if not self.has_given_up_shards:
+        """Whether the shards that have not failed can still reach the floor."""
+        if not self.has_failed_shards:
             return True
-        reachable = [item for item in self.shards.values() if not item.has_failed]
+        reachable = [
+            item for item in self.shards.values() if not item.is_without_answer
+        ]
         n_total = sum(item.shard.n_documents for item in self.shards.values())
         n_reachable = sum(item.shard.n_documents for item in reachable)
         return n_reachable >= self.context.caller_class.coverage_floor_ratio * n_total
