--- a/chestnuthall/services/_admission.py
+++ b/chestnuthall/services/_admission.py
@@ -1,4 +1,4 @@
-"""Admission of queries to the upstream groups of an instance."""
+"""Admits queries to the upstream groups of an instance."""
 
 import asyncio
 from dataclasses import dataclass
@@ -36,41 +36,42 @@
 from chestnuthall.core.results import SHED_BY_UPSTREAM, Failure
 from chestnuthall.ports import Clock
 
-# Time over which the offered cost is averaged: short enough to follow a step
-# of the load, long enough that a few searches do not swing an instance's part.
+# Time constant of the average of the offered cost: short enough to follow a step
+# of the load, long enough that a few searches do not change the quota much.
 OFFERED_WINDOW_MS = 2_000.0
-# A timer that fires early by the clock's resolution would otherwise be set
-# again for the same instant.
-WAKE_DISTANCE_MIN_MS = 0.05
+# Minimum delay of the timer. Otherwise a timer that fires early by the clock's
+# resolution would be set again for the same time.
+TIMER_DELAY_MIN_MS = 0.05
 
 
 class OfferedCost:
-    """Shard calls that callers asked for over the last seconds, by class.
+    """Exponentially decayed sum of the shard calls that callers requested, by class.
 
-    Refused queries count too. Queued work does not: its amount depends on the
-    room that this instance already has, so parts would follow themselves.
+    Queries are counted on arrival, so refused ones are included. Queued work is not
+    used as a measure of demand: it depends on the capacity that this instance
+    already has, so the quotas would feed back on themselves.
     """
 
     def __init__(self) -> None:
         self._costs: dict[str, tuple[float, float]] = {}
 
     def add(self, class_name: str, cost: float, now_ms: float) -> None:
-        """Count a query that arrived."""
+        """Add the cost of a query that arrived."""
         self._costs[class_name] = (self.cost(class_name, now_ms) + cost, now_ms)
 
     def cost(self, class_name: str, now_ms: float) -> float:
-        """Return the exponentially aged sum of a class."""
+        """Return the decayed sum of a class."""
         total, updated_ms = self._costs.get(class_name, (0.0, now_ms))
         return total * exp((updated_ms - now_ms) / OFFERED_WINDOW_MS)
 
     def by_class(self, now_ms: float) -> dict[str, float]:
-        """Return the aged sums of all classes that arrived so far."""
+        """Return the decayed sums of all classes seen so far."""
         return {name: self.cost(name, now_ms) for name in self._costs}
 
 
 @dataclass(frozen=True, slots=True)
 class Admitted:
-    """A query may run; its ticket must be released when it ends."""
+    """Result for an admitted query; it must be released when the query ends."""
 
     ticket: str
     admitted_ms: float
@@ -79,17 +80,18 @@
 
 @dataclass(frozen=True, slots=True)
 class NotAdmitted:
-    """A query is not run."""
+    """Result for a refused query."""
 
     failure: Failure
     account: AdmissionAccount
 
 
 class Admission:
-    """Waits for the decisions of one group's admission queue.
+    """Connects the admission queue of one group to the event loop.
 
-    The limit is the slots of the group, times the part of this instance, times
-    the ratio that latency and sheds allow.
+    The concurrency limit is the number of slots of the group, times the quota of
+    this instance, times the ratio of the adaptive limit, which follows latency and
+    shed calls.
     """
 
     def __init__(
@@ -101,8 +103,8 @@
     ) -> None:
         self._clock = clock
         self._slots_cost = slots_cost
-        self._part_ratio = 1.0
-        self._class_part_ratios: tuple[tuple[str, float], ...] = ()
+        self._quota_ratio = 1.0
+        self._class_demand_ratios: tuple[tuple[str, float], ...] = ()
         self._limit = AdaptiveLimit()
         self._queue = AdmissionQueue(
             document.classes, slots_cost, group.reserved_ratios
@@ -114,76 +116,78 @@
 
     @property
     def utilisation_ratio(self) -> float:
-        """Average of the running shard calls lately, as a part of the limit."""
+        """Recent average of the running shard calls, as a ratio of the limit."""
         return self._queue.utilisation_ratio
 
     @property
     def limit_cost(self) -> float:
-        """Shard calls that may run at once on average."""
+        """Average number of shard calls that may run concurrently."""
         return self._queue.room.limit_cost
 
     @property
     def n_running(self) -> int:
-        """Number of queries that run."""
+        """Number of running queries."""
         return len(self._queue.running)
 
     @property
     def is_in_use(self) -> bool:
-        """Whether queries wait or run."""
+        """Whether queries are queued or running."""
         return bool(self._queue.running or self._queue.waiting)
 
     @property
     def served_cost(self) -> dict[str, float]:
-        """Shard calls admitted so far, by class."""
+        """Number of shard calls admitted so far, by class."""
         return self._queue.served_cost
 
     def reconfigure(self, document: EnvironmentDocument, group: UpstreamGroup) -> None:
-        """Apply another revision; what is queued or runs stays counted."""
+        """Apply another revision; queued and running queries stay counted."""
         now_ms = self._clock.now_ms()
         event = Reconfigured(now_ms, document.classes, group.reserved_ratios)
         self._handle(event)
 
     def set_slots(self, slots_cost: float) -> None:
-        """Set the slots of the whole group."""
+        """Set the number of slots of the whole group."""
         if slots_cost != self._slots_cost:
             self._slots_cost = slots_cost
             self._apply_limit()
 
-    def set_part(
-        self, part_ratio: float, class_part_ratios: tuple[tuple[str, float], ...]
+    def set_quota(
+        self, quota_ratio: float, class_demand_ratios: tuple[tuple[str, float], ...]
     ) -> None:
-        """Set this instance's part of the demand, in all and by class.
+        """Set this instance's quota and its fractions of the demand by class.
 
-        It is also the part of the group's slots that this instance may use.
+        ``quota_ratio`` is this instance's fraction of the demand on the fleet, and the
+        fraction of the group's slots that it may use. ``class_demand_ratios`` are its
+        fractions of the demand of single classes.
         """
-        self._part_ratio = part_ratio
-        self._class_part_ratios = class_part_ratios
+        self._quota_ratio = quota_ratio
+        self._class_demand_ratios = class_demand_ratios
         self._apply_limit()
 
     def adapt(self) -> None:
-        """Adapt the limit to what was observed since the last call."""
+        """Adapt the limit to the latencies and sheds observed since the last call."""
         self._handle(Woken(self._clock.now_ms()))
         self._limit.adapt(self.utilisation_ratio)
         self._apply_limit()
 
     def _apply_limit(self) -> None:
-        limit_cost = self._slots_cost * self._part_ratio * self._limit.ratio
+        limit_cost = self._slots_cost * self._quota_ratio * self._limit.ratio
         self._handle(
             LimitChanged(
                 self._clock.now_ms(),
                 limit_cost,
-                self._part_ratio,
-                self._class_part_ratios,
+                self._quota_ratio,
+                self._class_demand_ratios,
             )
         )
 
     def on_fleet_demand(self, class_name: str, cost: float) -> None:
-        """Note what callers of a class ask of the whole fleet."""
+        """Record the demand of a class on the whole fleet."""
         cost_per_ms = cost / OFFERED_WINDOW_MS
         self._handle(DemandReported(self._clock.now_ms(), class_name, cost_per_ms))
 
     def on_fleet_use(self, class_name: str, cost: float) -> None:
-        """Count service that other instances gave to a class."""
+        """Count the shard calls that other instances served for a class."""
         self._handle(FleetUseReported(self._clock.now_ms(), class_name, cost))
 
     def on_call_result(
@@ -193,7 +197,7 @@
         result: ShardAnswer | Failure,
         elapsed_ms: float,
     ) -> None:
-        """Note the end of a shard call of an admitted query."""
+        """Record the result of a shard call of an admitted query."""
         replica_name = call.replica.name
         if isinstance(result, Failure):
             if result.kind is SHED_BY_UPSTREAM:
@@ -225,7 +229,7 @@
         try:
             return await self._wait(waiter, request.deadline_ms)
         except asyncio.CancelledError:
-            self._give_back(ticket, waiter)
+            self._withdraw(ticket, waiter)
             raise
 
     async def _wait(
@@ -235,16 +239,16 @@
             return waiter.result()
         timeout_ms = deadline_ms - self._clock.now_ms()
         try:
-            # wait_for of Python 3.11 can lose a cancellation that comes together
-            # with the result.
+            # asyncio.wait_for of Python 3.11 can lose a cancellation that arrives
+            # together with the result.
             async with asyncio.timeout(max(0.0, timeout_ms) / 1000.0):
                 return await asyncio.shield(waiter)
         except TimeoutError:
-            # The loop may fire the timer early by its clock's resolution.
+            # The event loop may fire the timer early by its clock's resolution.
             self._handle(ExpireDue(max(self._clock.now_ms(), deadline_ms)))
             return await waiter
 
-    def _give_back(
+    def _withdraw(
         self, ticket: str, waiter: "asyncio.Future[Admitted | NotAdmitted]"
     ) -> None:
         self._waiters.pop(ticket, None)
@@ -255,7 +259,7 @@
             self._handle(Withdraw(now_ms, ticket))
 
     def release(self, admitted: Admitted) -> None:
-        """Give back the room of a query that ended."""
+        """Release the capacity of a query that ended."""
         now_ms = self._clock.now_ms()
         self._handle(Release(now_ms, admitted.ticket, now_ms - admitted.admitted_ms))
 
@@ -271,7 +275,7 @@
         wake_at_ms = self._queue.wake_at_ms()
         if wake_at_ms is None:
             return
-        delay_ms = max(WAKE_DISTANCE_MIN_MS, wake_at_ms - self._clock.now_ms())
+        delay_ms = max(TIMER_DELAY_MIN_MS, wake_at_ms - self._clock.now_ms())
         loop = asyncio.get_running_loop()
         self._timer = loop.call_later(delay_ms / 1000.0, self._on_timer)
 
@@ -281,7 +285,7 @@
 
     @singledispatchmethod
     def _perform(self, action: AdmissionAction) -> None:
-        raise TypeError(f"not an action: {type(action).__name__}")
+        raise TypeError(f"not an admission action: {type(action).__name__}")
 
     @_perform.register
     def _(self, action: Admit) -> None:
@@ -301,20 +305,20 @@
 
 
 class Admissions:
-    """The admissions of all groups; they outlive configuration changes."""
+    """The admissions of all groups, which are kept across configuration changes."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._by_group: dict[str, Admission] = {}
 
     def items(self) -> tuple[tuple[str, Admission], ...]:
-        """Return the groups that were used so far, with their admissions."""
+        """Return the groups used so far, with their admissions."""
         return tuple(self._by_group.items())
 
     def reconfigure(self, document: EnvironmentDocument) -> None:
-        """Apply another revision to the groups that it still has.
+        """Apply another revision to the groups that it still contains.
 
-        The admission of a removed group stays while queries hold it.
+        The admission of a removed group is kept while it has queries.
         """
         for name, admission in self.items():
             group = document.group_named(name)
@@ -326,7 +330,7 @@
     def of(
         self, document: EnvironmentDocument, group: UpstreamGroup, slots_cost: float
     ) -> Admission:
-        """Return the admission of a group, made at its first use."""
+        """Return the admission of a group, created at its first use."""
         admission = self._by_group.get(group.name)
         if admission is None:
             admission = Admission(document, group, slots_cost, self._clock)
@@ -341,5 +345,5 @@
 
 
 def account_of_unqueued() -> AdmissionAccount:
-    """Return the account of a request that was refused before any queue."""
+    """Return the account of a request that was refused before it was queued."""
     return AdmissionAccount(AdmissionRule.NOT_ADMITTED, 0.0, 0)
--- a/chestnuthall/services/_connections.py
+++ b/chestnuthall/services/_connections.py
@@ -1,4 +1,4 @@
-"""Keeps the connections to upstreams within this instance's part of their caps."""
+"""Limits the connections to upstreams to this instance's budget."""
 
 from collections.abc import Callable
 
@@ -10,11 +10,11 @@
 
 
 class ConnectionBudgets:
-    """Divides each upstream's cap over the instances as they come and go.
+    """Divides the connection cap of each upstream over the current instances.
 
-    ``n_instances`` returns None until it is known, and at the start as many as
-    ``n_assumed`` are assumed. ``n_near`` returns how many are in the zone of this
-    one, or None where all zones share alike.
+    ``n_instances`` returns None while the number is unknown, and the initial number
+    is at least ``n_assumed``. ``n_near`` returns the number of instances in the zone
+    of this one, or None if the budget does not depend on the zone.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
         configuration.on_change(lambda _: self.divide())
 
     def divide(self) -> None:
-        """Set the budgets for the instances known now."""
+        """Set the budgets for the current number of instances."""
         n_instances = self._n_instances()
         in_force = self._configuration.in_force
         if n_instances is None or in_force is None:
@@ -46,10 +46,14 @@
         for group in in_force.document.groups:
             budget = share.budget(group.n_connections_max)
             kept_ratio = share.kept_ratio(group.n_connections_max)
-            near = None
+            n_connections_in_zone = None
             if n_near is not None:
-                near = share.near_budget(group.n_connections_max, n_near)
-            self._caller.set_connection_budget(group.name, budget, kept_ratio, near)
+                n_connections_in_zone = share.near_budget(
+                    group.n_connections_max, n_near
+                )
+            self._caller.set_connection_budget(
+                group.name, budget, kept_ratio, n_connections_in_zone
+            )
 
     def _observe(self, n_instances: int) -> ConnectionShare:
         now_ms = self._clock.now_ms()
@@ -59,7 +63,7 @@
         return self._share
 
     async def run(self) -> None:
-        """Follow the number of instances until cancelled."""
+        """Update the budgets periodically until cancelled."""
         while True:
             self.divide()
             await self._clock.sleep_ms(OBSERVE_INTERVAL_MS)
--- a/chestnuthall/services/_decision_log.py
+++ b/chestnuthall/services/_decision_log.py
@@ -1,4 +1,4 @@
-"""The log of the decisions on each request, within a bound on its volume."""
+"""Logs the decisions on each request, at a limited rate."""
 
 import logging
 from collections.abc import Callable, Sequence
@@ -15,30 +15,35 @@
 from chestnuthall.core.results import ResultCode
 from chestnuthall.ports import Clock, Metrics
 
-# Logger whose volume is bounded here.
+# Name of the logger whose volume is limited here.
 DECISIONS = "chestnuthall.decisions"
 _log = logging.getLogger(DECISIONS)
 
-# Lines that may be written at once, and per second after that. A line costs about
-# 35 us, so that the log stays below a twentieth of what the requests cost.
+# Token bucket of lines: its size, and its refill per second. A line takes about
+# 35 us, so that the log takes less than a twentieth of the time of the requests.
 N_LINES_BURST = 600.0
 N_LINES_PER_S = 60.0
-# Part of the burst that ordinary requests leave to those that were refused, late,
-# partial or repeated: for their single line, and for the lines of their decisions.
-KEPT_FROM_SUMMARIES = 0.25
-KEPT_FROM_DETAILS = 0.6
+# Fractions of the bucket that are reserved for requests that were refused, late,
+# partial or retried: against summary lines and against decision lines of ordinary
+# requests.
+SUMMARY_RESERVE_RATIO = 0.25
+DECISION_RESERVE_RATIO = 0.6
 
 
 @dataclass(slots=True)
 class LineBudget:
-    """Lines that may be written now; refilled as time passes.
+    """Token bucket of log lines.
+
+    Lines that are not granted are counted in ``n_suppressed``.
 
     Examples
     --------
     >>> budget = LineBudget(n_burst=10.0, n_per_s=1.0, now_ms=0.0)
-    >>> budget.take(6, 0.5, 0.0), budget.take(6, 0.0, 0.0), budget.n_suppressed
-    (False, True, 6)
-    >>> budget.take(5, 0.0, 1_000.0)
+    >>> budget.try_acquire(6, 0.5, 0.0), budget.try_acquire(6, 0.0, 0.0)
+    (False, True)
+    >>> budget.n_suppressed
+    6
+    >>> budget.try_acquire(5, 0.0, 1_000.0)
     True
     """
 
@@ -51,12 +56,12 @@
     def __post_init__(self) -> None:
         self.n_left = self.n_burst
 
-    def take(self, n_lines: int, kept_ratio: float, now_ms: float) -> bool:
-        """Take so many lines if more than the kept part is left after them."""
-        gained = (now_ms - self.now_ms) / 1000.0 * self.n_per_s
-        self.n_left = min(self.n_burst, self.n_left + gained)
+    def try_acquire(self, n_lines: int, reserved_ratio: float, now_ms: float) -> bool:
+        """Acquire lines if at least the reserved fraction of the bucket remains."""
+        n_refilled = (now_ms - self.now_ms) / 1000.0 * self.n_per_s
+        self.n_left = min(self.n_burst, self.n_left + n_refilled)
         self.now_ms = now_ms
-        if self.n_left - n_lines < kept_ratio * self.n_burst:
+        if self.n_left - n_lines < reserved_ratio * self.n_burst:
             self.n_suppressed += n_lines
             return False
         self.n_left -= n_lines
@@ -71,14 +76,15 @@
 
 
 class DecisionLog:
-    """Writes what was decided on a request once it has ended.
+    """Logs the decisions on a request after it has ended.
 
-    A request that was refused, late, partial or repeated has a line for each
-    decision; an ordinary one has them while there is room, and one line for its
-    end otherwise. What finds no room is counted.
+    Each request has a line for every decision and a summary line, as far as the
+    budget allows; otherwise only the summary, or none. Requests that were refused,
+    late, partial or retried have precedence over ordinary ones. Suppressed lines
+    are counted.
 
-    ``defer`` calls a function later. The lines of a search over 36 shards take 4 ms,
-    which its response does not wait for.
+    ``defer`` calls a function later, so that the response does not wait for the
+    log: the lines of a search over 36 shards take 4 ms.
     """
 
     def __init__(
@@ -104,18 +110,20 @@
     ) -> None:
         is_ordinary = _is_ordinary(outcome)
         n_lines = len(decisions) + 1
-        if self.budget.take(n_lines, KEPT_FROM_DETAILS if is_ordinary else 0.0, now_ms):
-            self._write_all(outcome.account, decisions, now_ms)
-        elif not self.budget.take(
-            1, KEPT_FROM_SUMMARIES if is_ordinary else 0.0, now_ms
+        if self.budget.try_acquire(
+            n_lines, DECISION_RESERVE_RATIO if is_ordinary else 0.0, now_ms
+        ):
+            self._write_decisions(outcome.account, decisions, now_ms)
+        elif not self.budget.try_acquire(
+            1, SUMMARY_RESERVE_RATIO if is_ordinary else 0.0, now_ms
         ):
             return
-        self._write_end(outcome)
+        self._write_summary(outcome)
 
     def request_abandoned(self, request: Request) -> None:
-        """Log a request whose caller left before its outcome."""
+        """Log a request that its caller cancelled before the outcome."""
         now_ms = self._clock.now_ms()
-        if not self.budget.take(1, KEPT_FROM_SUMMARIES, now_ms):
+        if not self.budget.try_acquire(1, SUMMARY_RESERVE_RATIO, now_ms):
             return
         fields = {
             "request_id": request.request_id,
@@ -124,17 +132,18 @@
         }
         _log.info("request abandoned by its caller", extra=fields)
 
-    def _write_all(
+    def _write_decisions(
         self, account: Account, decisions: Sequence[Decision], now_ms: float
     ) -> None:
         for decision in decisions:
             fields = decision.fields()
             fields["request_id"] = account.request_id
-            # The line is written when the request has ended.
+            # The line is logged after the end of the request, so its timestamp is not
+            # that of the decision.
             fields["ago_ms"] = round(now_ms - decision.at_ms, 1)
             _log.log(logging.INFO, decision.event.text, extra=fields)
 
-    def _write_end(self, outcome: Answer | Refusal) -> None:
+    def _write_summary(self, outcome: Answer | Refusal) -> None:
         fields = outcome_fields(outcome.account)
         if isinstance(outcome, Answer):
             _log.info("request answered", extra=fields)
@@ -145,7 +154,7 @@
         _log.info("request refused", extra=fields)
 
     def report(self) -> None:
-        """Log how many lines found no room since the last report."""
+        """Log the number of lines suppressed since the last report."""
         n_lines, self.budget.n_suppressed = self.budget.n_suppressed, 0
         if n_lines:
             _log.info("decision lines suppressed", extra={"n_lines": n_lines})
@@ -159,7 +168,7 @@
 
 
 def outcome_fields(account: Account) -> dict[str, object]:
-    """Return what a line on the end of a request says."""
+    """Return the fields of the summary line of a request."""
     fan_out = account.fan_out
     return {
         "request_id": account.request_id,
--- a/chestnuthall/services/_directory.py
+++ b/chestnuthall/services/_directory.py
@@ -1,4 +1,4 @@
-"""Partition maps and the routers of the upstream groups."""
+"""Keeps the partition maps and the routers of the upstream groups."""
 
 import asyncio
 import logging
@@ -23,9 +23,10 @@
 
 
 class Directory:
-    """Knows, for each group, the published snapshots and the replicas.
+    """Keeps the published partition maps of each group and a router over its replicas.
 
-    Maps come from the object store and, while that is down, from upstreams.
+    Maps are read from the object store, and also from upstreams if no replacement of
+    a snapshot is known, as while the store is unavailable.
     """
 
     def __init__(
@@ -49,7 +50,7 @@
         self._routers: dict[str, Router] = {}
 
     def add_group(self, group: UpstreamGroup) -> None:
-        """Start to keep replica statistics for a group."""
+        """Create the router of a group, which keeps its replica statistics."""
         if group.name in self._routers:
             return
         settings = replace(
@@ -70,9 +71,10 @@
         return replica_name
 
     def knows_replica(self, replica_name: str) -> bool:
-        """Return whether a kept map of any group names the replica."""
+        """Return whether a known map of any group contains the replica."""
         return any(
-            _names_replica(catalog, replica_name) for catalog in self._catalogs.values()
+            _contains_replica(catalog, replica_name)
+            for catalog in self._catalogs.values()
         )
 
     def routers(self) -> tuple[Router, ...]:
@@ -96,7 +98,7 @@
         return all(self._catalogs[name].newest_id is not None for name in self._routers)
 
     def add_map(self, partition_map: PartitionMap) -> None:
-        """Note a published partition map, whatever its source."""
+        """Add a published partition map from any source."""
         catalog = self._catalogs.setdefault(
             partition_map.group, SnapshotCatalog(partition_map.group)
         )
@@ -109,7 +111,7 @@
                 },
             )
 
-    def map_of(self, group_name: str, snapshot_id: int) -> PartitionMap | None:
+    def find_map(self, group_name: str, snapshot_id: int) -> PartitionMap | None:
         """Return the known map of a snapshot, or None."""
         catalog = self._catalogs.get(group_name)
         maps = () if catalog is None else catalog.maps()
@@ -132,16 +134,19 @@
     async def pin_another(
         self, group_name: str, gone: tuple[int, ...]
     ) -> PartitionMap | None:
-        """Return a map of a snapshot that is not gone, asking upstreams if needed."""
+        """Return a map of a snapshot that is still available, or None.
+
+        Upstreams are queried unless a newer map is known.
+        """
         known = self.pin(group_name, gone)
         if known is not None and known.snapshot_id > max(gone):
             return known
-        await self._ask_upstreams(group_name)
+        await self._fetch_from_upstreams(group_name)
         return self.pin(group_name, gone)
 
-    async def _ask_upstreams(self, group_name: str) -> None:
+    async def _fetch_from_upstreams(self, group_name: str) -> None:
         catalog = self._catalogs[group_name]
-        replicas = self._some_replicas(catalog)
+        replicas = self._sample_replicas(catalog)
         results = await asyncio.gather(
             *(
                 self._caller.fetch_partition_map(replica, MAP_FETCH_TIMEOUT_MS)
@@ -152,7 +157,7 @@
             if isinstance(result, PartitionMap) and result.group == group_name:
                 self.add_map(result)
 
-    def _some_replicas(self, catalog: SnapshotCatalog) -> list[Replica]:
+    def _sample_replicas(self, catalog: SnapshotCatalog) -> list[Replica]:
         """Return one replica for each of up to three shards of the newest map."""
         for partition_map in catalog.maps():
             shards = list(partition_map.shards)
@@ -165,7 +170,7 @@
         return []
 
     async def run(self) -> None:
-        """Follow the published maps until cancelled."""
+        """Watch the published maps until cancelled."""
         version = 0
         while True:
             if version == 0:
@@ -173,7 +178,7 @@
             if version == 0:
                 await self._clock.sleep_ms(RETRY_DELAY_MS)
                 continue
-            version = await self._follow(version)
+            version = await self._watch(version)
 
     async def _load(self) -> int:
         listed = await self._store.list_kind(PARTITION_MAP_KIND, STORE_TIMEOUT_MS)
@@ -183,19 +188,19 @@
             )
             return 0
         for stored in listed:
-            self._add_text(stored.value)
+            self._add_stored_map(stored.value)
         return max((stored.version for stored in listed), default=0)
 
-    async def _follow(self, version: int) -> int:
+    async def _watch(self, version: int) -> int:
         batch = await self._store.watch(PARTITION_MAP_KIND, version, WATCH_TIMEOUT_MS)
         if isinstance(batch, Failure):
             await self._clock.sleep_ms(RETRY_DELAY_MS)
             return version
         for stored in batch.changed:
-            self._add_text(stored.value)
+            self._add_stored_map(stored.value)
         return batch.version
 
-    def _add_text(self, text: str) -> None:
+    def _add_stored_map(self, text: str) -> None:
         partition_map = self._read_map(text)
         if isinstance(partition_map, Failure):
             _log.error("invalid partition map", extra={"reason": partition_map.reason})
@@ -203,7 +208,7 @@
         self.add_map(partition_map)
 
 
-def _names_replica(catalog: SnapshotCatalog, replica_name: str) -> bool:
+def _contains_replica(catalog: SnapshotCatalog, replica_name: str) -> bool:
     return any(
         replica.name == replica_name
         for partition_map in catalog.maps()
--- a/chestnuthall/services/_drain_news.py
+++ b/chestnuthall/services/_drain_news.py
@@ -1,4 +1,4 @@
-"""Replicas that leave: signals in, routers and peers told."""
+"""Applies drain signals of replicas to the routers and sends them to peers."""
 
 import asyncio
 import logging
@@ -37,66 +37,70 @@
 
 _SIGNALS = {signal.value: signal for signal in DrainSignal}
 
-Spreader = Callable[[int], Awaitable[None]]
+Disseminator = Callable[[int], Awaitable[None]]
 
 
 class DrainNews:
-    """Takes every signal of a drain to the routers and to the peers."""
+    """Applies every drain signal to the routers and sends it to the peers.
+
+    Signals are the observations of this instance, the platform's list and the
+    notices of peers.
+    """
 
     def __init__(
         self,
         directory: Directory,
         clock: Clock,
         instances: InstanceList,
-        spread: Spreader,
+        disseminate: Disseminator,
         origin_name: str = "",
     ) -> None:
         self._directory = directory
         self._clock = clock
-        self._spread = spread
-        self._register = DrainRegister(origin_name=origin_name)
+        self._disseminate = disseminate
+        self._registry = DrainRegister(origin_name=origin_name)
         self._listed_leaving: set[str] = set()
-        self._spreading: asyncio.Task[None] | None = None
-        self._must_spread = False
-        instances.on_change(self._read_list)
+        self._dissemination: asyncio.Task[None] | None = None
+        self._has_unsent_notices = False
+        instances.on_change(self._on_list_change)
 
     def signal(self, replica_name: str, signal: DrainSignal) -> None:
-        """Note that this instance saw that a replica leaves."""
+        """Record that this instance observed the drain of a replica."""
         now_ms, wall_ms = self._clock.now_ms(), self._clock.wall_ms()
         self._handle(Signalled(now_ms, wall_ms, replica_name, signal))
 
     def note_back(
         self, replica_name: str, signal: DrainSignal, observed_ms: float
     ) -> None:
-        """Note that this instance saw that a replica takes calls again.
+        """Record that this instance observed that a replica accepts calls again.
 
-        ``observed_ms`` is the time at which the observation began.
+        ``observed_ms`` is the time at which the observation started.
         """
         now_ms, wall_ms = self._clock.now_ms(), self._clock.wall_ms()
         self._handle(CameBack(now_ms, wall_ms, replica_name, signal, observed_ms))
 
     def is_listed_leaving(self, replica_name: str) -> bool:
-        """Return whether the platform's list says that a replica leaves."""
+        """Return whether the platform's list marks a replica as leaving."""
         return replica_name in self._listed_leaving
 
     def active(self) -> tuple[Notice, ...]:
-        """Return the drains that hold now."""
-        return self._register.active(self._clock.now_ms())
+        """Return the notices of the drains in effect."""
+        return self._registry.active(self._clock.now_ms())
 
-    def apply_again(self) -> None:
-        """Tell the routers of all drains; for groups that were added since."""
+    def reapply(self) -> None:
+        """Apply all drains to the routers again, for groups added in the meantime."""
         now_ms = self._clock.now_ms()
-        for notice in self._register.active(now_ms):
+        for notice in self._registry.active(now_ms):
             until_ms = now_ms + notice.remaining_ms
             self._perform(StopCalls(notice.replica_name, until_ms))
 
     def fill(self, digest: PeerDigest) -> PeerDigest:
         """Return the digest with the drain notices added."""
-        notices = self._register.take_notices(self._clock.now_ms())
-        return replace(digest, drains=tuple(map(_to_port, notices)))
+        notices = self._registry.take_notices(self._clock.now_ms())
+        return replace(digest, drains=tuple(map(_to_port_notice, notices)))
 
     def absorb(self, digest: PeerDigest) -> None:
-        """Take in the drain notices of a peer."""
+        """Apply the drain notices of a peer."""
         notices = tuple(
             Notice(
                 item.replica_name,
@@ -111,7 +115,7 @@
         if notices:
             self._handle(NoticesReceived(self._clock.now_ms(), notices))
 
-    def _read_list(self, entries: tuple[ListEntry, ...]) -> None:
+    def _on_list_change(self, entries: tuple[ListEntry, ...]) -> None:
         upstreams = [item for item in entries if item.role is InstanceRole.UPSTREAM]
         leaving = {item.name for item in upstreams if item.is_leaving}
         live = {item.name for item in upstreams} - leaving
@@ -122,7 +126,7 @@
         self._listed_leaving = leaving
 
     def _handle(self, event: DrainEvent) -> None:
-        for action in self._register.handle(event):
+        for action in self._registry.handle(event):
             self._perform(action)
 
     @singledispatchmethod
@@ -142,22 +146,23 @@
 
     @_perform.register
     def _(self, action: SpreadNews) -> None:
-        # One spread at a time bounds the traffic when many replicas drain.
-        self._must_spread = True
-        if self._spreading is None:
+        # At most one dissemination runs, to limit the traffic when many replicas
+        # drain.
+        self._has_unsent_notices = True
+        if self._dissemination is None:
             loop = asyncio.get_running_loop()
-            self._spreading = loop.create_task(self._spread_pending())
+            self._dissemination = loop.create_task(self._disseminate_pending())
 
-    async def _spread_pending(self) -> None:
+    async def _disseminate_pending(self) -> None:
         try:
-            while self._must_spread:
-                self._must_spread = False
-                await self._spread(N_URGENT_PEERS)
+            while self._has_unsent_notices:
+                self._has_unsent_notices = False
+                await self._disseminate(N_URGENT_PEERS)
         finally:
-            self._spreading = None
+            self._dissemination = None
 
 
-def _to_port(notice: Notice) -> DrainNotice:
+def _to_port_notice(notice: Notice) -> DrainNotice:
     return DrainNotice(
         notice.replica_name,
         notice.remaining_ms,
@@ -168,7 +173,7 @@
 
 
 class DrainWatchingCaller:
-    """A shard caller that notes the drains that its calls show."""
+    """A shard caller that reports the drains indicated by its calls."""
 
     def __init__(
         self, caller: MapFetchingCaller, on_signal: Callable[[str, DrainSignal], None]
@@ -177,7 +182,7 @@
         self._on_signal = on_signal
 
     async def call(self, call: ShardCall) -> ShardAnswer | Failure:
-        """Run one call and note a drain that its outcome shows."""
+        """Run one call and report a drain that its result indicates."""
         result = await self._caller.call(call)
         if isinstance(result, Failure):
             if result.kind is CONNECTION_REFUSED:
--- a/chestnuthall/services/_equal_parts.py
+++ b/chestnuthall/services/_equal_parts.py
@@ -1,21 +1,22 @@
-"""Parts of the upstreams' slots without news of the other instances."""
+"""Equal quotas of the upstreams' slots, without usage reports of peers."""
 
 from collections.abc import Callable
 
 from chestnuthall.ports import Clock
 from chestnuthall.services._admission import Admissions
 
-INTERVAL_MS = 500.0
-# A balancer that hashes callers gives some instances a multiple of the mean
-# demand. A part of this many times the equal one leaves room for them.
-EXCESS_FACTOR = 3.0
+UPDATE_INTERVAL_MS = 500.0
+# Quota as a multiple of the equal one. A load balancer that hashes callers sends
+# some instances a multiple of the mean demand, which a larger quota accommodates.
+QUOTA_FACTOR = 3.0
 
 
 class EqualParts:
-    """Gives this instance a bounded part of each group's slots.
+    """Sets this instance's quota of each group's slots from the number of instances.
 
-    Without an exchange of demand the true part is unknown. The bound keeps one
-    instance from filling all slots while the others serve too.
+    The ratio of its demand to that of the fleet is unknown, because instances do not
+    exchange their demand here. The bound prevents one instance from occupying all
+    slots while the others serve too.
     """
 
     def __init__(
@@ -26,9 +27,9 @@
         self._n_instances = n_instances
 
     async def run(self) -> None:
-        """Set the parts until cancelled."""
+        """Update the quotas until cancelled."""
         while True:
-            part_ratio = min(1.0, EXCESS_FACTOR / self._n_instances())
+            quota_ratio = min(1.0, QUOTA_FACTOR / self._n_instances())
             for _, admission in self._admissions.items():
-                admission.set_part(part_ratio, ())
-            await self._clock.sleep_ms(INTERVAL_MS)
+                admission.set_quota(quota_ratio, ())
+            await self._clock.sleep_ms(UPDATE_INTERVAL_MS)
--- a/chestnuthall/services/_fan_out_run.py
+++ b/chestnuthall/services/_fan_out_run.py
@@ -1,4 +1,4 @@
-"""Carries out the actions of one fan-out on the event loop."""
+"""Runs the actions of one fan-out on the event loop."""
 
 import asyncio
 from collections.abc import Callable
@@ -33,17 +33,20 @@
 
 
 class MapSource(Protocol):
-    """Where another map comes from when the pinned snapshot goes away."""
+    """Source of another partition map if the pinned snapshot is replaced."""
 
     async def pin_another(
         self, group_name: str, gone: tuple[int, ...]
     ) -> PartitionMap | None:
-        """Return a map of a snapshot that is not gone, or None."""
+        """Return a map of a snapshot that is still available, or None."""
         ...
 
 
-class NoOtherMap:
-    """Keeps a part of a divided search on the snapshot of the whole."""
+class NoReplacementMap:
+    """Map source without other maps, for one shard set of a divided search.
+
+    All shard sets of a search have to be of the same snapshot.
+    """
 
     async def pin_another(
         self, group_name: str, gone: tuple[int, ...]
@@ -55,11 +58,11 @@
 def _ignore_result(
     call: ShardCall, result: ShardAnswer | Failure, elapsed_ms: float
 ) -> None:
-    """Note nothing; the instance that admitted the query does."""
+    """Do nothing; the instance that admitted the query observes its calls."""
 
 
 class FanOutRun:
-    """One fan-out with its calls, its timer and what it waits for."""
+    """Runs one fan-out: its calls, its timer and its background tasks."""
 
     def __init__(
         self,
@@ -78,15 +81,16 @@
         self._suspects = suspects
         self._loop = asyncio.get_running_loop()
         self._done: asyncio.Future[Completion] = self._loop.create_future()
-        self._direct = caller if isinstance(caller, DirectShardCaller) else None
-        self._calls: dict[str, Callable[[], object]] = {}
-        self._waits: list[asyncio.Task[None]] = []
+        self._direct_caller = caller if isinstance(caller, DirectShardCaller) else None
+        self._cancel_by_call_id: dict[str, Callable[[], object]] = {}
+        self._tasks: list[asyncio.Task[None]] = []
         self._timer: asyncio.TimerHandle | None = None
-        # Each access of a singledispatchmethod makes a new function.
+        # Each access of a singledispatchmethod creates a new function, so the
+        # bound one is kept.
         self._perform_action: Callable[[Action], None] = self._perform
 
     async def complete(self) -> Completion:
-        """Run the fan-out to its end; cancelling it cancels its calls."""
+        """Run the fan-out to its end; cancel its calls when cancelled."""
         fingerprint = self._fan_out.request.fingerprint
         self._suspects.add_waiter(fingerprint, self._on_verdict)
         try:
@@ -99,11 +103,11 @@
     def _stop(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        for task in self._waits:
+        for task in self._tasks:
             task.cancel()
         if not self._fan_out.is_complete:
             self._fan_out.abandon(self._clock.now_ms())
-        for cancel in self._calls.values():
+        for cancel in self._cancel_by_call_id.values():
             cancel()
 
     def _handle(self, event: Event) -> None:
@@ -117,21 +121,26 @@
     @_perform.register
     def _(self, action: Dispatch) -> None:
         call = action.call
-        cancel = self._begin(call)
+        cancel = self._start_directly(call)
         if cancel is None:
             cancel = self._loop.create_task(self._call(call)).cancel
-        self._calls[call.call_id] = cancel
+        self._cancel_by_call_id[call.call_id] = cancel
+
+    def _start_directly(self, call: ShardCall) -> Callable[[], object] | None:
+        """Start a call without a task; return None if it needs one.
 
-    def _begin(self, call: ShardCall) -> Callable[[], object] | None:
-        """Start a call that has nothing to wait for; None if it has."""
-        if self._direct is None:
+        Return the function that cancels the call otherwise.
+        """
+        if self._direct_caller is None:
             return None
         started_ms = self._clock.now_ms()
-        return self._direct.begin(call, partial(self._take_result, call, started_ms))
+        return self._direct_caller.begin(
+            call, partial(self._on_result, call, started_ms)
+        )
 
     @_perform.register
     def _(self, action: Cancel) -> None:
-        cancel = self._calls.pop(action.call_id, None)
+        cancel = self._cancel_by_call_id.pop(action.call_id, None)
         if cancel is not None:
             cancel()
 
@@ -144,11 +153,11 @@
 
     @_perform.register
     def _(self, action: Replan) -> None:
-        self._waits.append(self._loop.create_task(self._pin_another(action)))
+        self._tasks.append(self._loop.create_task(self._replan(action)))
 
     @_perform.register
     def _(self, action: Warn) -> None:
-        self._waits.append(self._loop.create_task(self._warn()))
+        self._tasks.append(self._loop.create_task(self._warn_peers()))
 
     @_perform.register
     def _(self, action: Complete) -> None:
@@ -161,18 +170,18 @@
     def _on_verdict(self) -> None:
         self._handle(VerdictGiven(self._clock.now_ms()))
 
-    async def _warn(self) -> None:
+    async def _warn_peers(self) -> None:
         await self._suspects.warn_peers()
         self._handle(Warned(self._clock.now_ms()))
 
     async def _call(self, call: ShardCall) -> None:
         started_ms = self._clock.now_ms()
-        self._take_result(call, started_ms, await self._caller.call(call))
+        self._on_result(call, started_ms, await self._caller.call(call))
 
-    def _take_result(
+    def _on_result(
         self, call: ShardCall, started_ms: float, result: ShardAnswer | Failure
     ) -> None:
-        self._calls.pop(call.call_id, None)
+        self._cancel_by_call_id.pop(call.call_id, None)
         now_ms = self._clock.now_ms()
         if call.shard_set is None:
             self._on_call_result(call, result, now_ms - started_ms)
@@ -181,7 +190,7 @@
         else:
             self._handle(CallAnswered(now_ms, call.call_id, result))
 
-    async def _pin_another(self, action: Replan) -> None:
+    async def _replan(self, action: Replan) -> None:
         group = self._fan_out.request.group
-        another = await self._directory.pin_another(group, action.gone_snapshot_ids)
-        self._handle(MapReplaced(self._clock.now_ms(), another))
+        replacement = await self._directory.pin_another(group, action.gone_snapshot_ids)
+        self._handle(MapReplaced(self._clock.now_ms(), replacement))
--- a/chestnuthall/services/_fleet_use.py
+++ b/chestnuthall/services/_fleet_use.py
@@ -1,4 +1,4 @@
-"""Exchange of use between instances, and this instance's part of the slots."""
+"""Exchanges usage between instances and sets this instance's slot quotas."""
 
 from collections.abc import Callable
 from dataclasses import asdict, replace
@@ -14,26 +14,27 @@
 from chestnuthall.services._admission import Admissions
 
 UPDATE_INTERVAL_MS = 250.0
-# Longer silence than this makes an instance count with the average demand.
-FRESH_MS = 5_000.0
-FORGET_MS = 30_000.0
-# Entries of one digest. Each takes about 66 bytes on the wire, so a digest
-# carries at most 1.9 KB of use, whatever the size of the fleet. At 9 instances
-# with three classes in one group, 27 entries tell everything.
+# An instance without a report for this long is counted with the average demand.
+REPORT_MAX_AGE_MS = 5_000.0
+RETENTION_MS = 30_000.0
+# Maximum number of usage entries of a digest. An entry takes about 66 bytes on the
+# wire, so a digest carries at most 1.9 KB of usage, whatever the size of the fleet.
+# 9 instances with three classes in one group need 27 entries.
 N_USES_MAX = 28
 
 
 class FleetUse:
-    """News about the service that each class received on each instance.
+    """Exchanges the service that each class received on each instance.
 
-    Own use goes first into a digest, then the latest news of others, which is
-    how news reaches instances that do not exchange digests directly.
+    A digest contains the usage of this instance first, then the latest reports of
+    other instances, so that reports also reach instances that do not exchange
+    digests directly.
 
-    At 1,900 instances single entries would take 125 KB for each class and
-    group, and only 28 of them fit. There one entry per zone takes their place:
-    a zone is an instance of that name, whose cost is the sum over its members
-    and whose incarnation changes with them, so 11 zones and three classes take
-    33 entries per group. ``_relayed`` is the place to pass on those sums.
+    Single entries do not scale to 1,900 instances: they would take 125 KB for each
+    class and group, and only 28 of them fit. Such a fleet needs one entry per zone:
+    an instance named after the zone, whose cost is the sum over its members and
+    whose incarnation changes with them. 11 zones and three classes take 33 entries
+    per group. ``_relayed_uses`` is the method that would send those sums.
     """
 
     def __init__(
@@ -48,21 +49,22 @@
         self._admissions = admissions
         self._read_members = read_members
         self._ledger = UseLedger()
-        # The start time tells a restarted instance from its predecessor.
+        # The start time distinguishes a restarted instance from its predecessor.
         self._incarnation = int(clock.wall_ms())
         self._started_ms = clock.now_ms()
         self._histories: dict[tuple[str, str | None], DemandHistory] = {}
 
     def fill(self, digest: PeerDigest) -> PeerDigest:
-        """Return the digest with the own use and the latest news of others."""
+        """Return the digest with own usage and the latest reports of others added."""
         own = self._own_uses()
-        room = max(0, N_USES_MAX - len(own))
-        uses = (*own[:N_USES_MAX], *islice(self._relayed(), room))
+        n_free = max(0, N_USES_MAX - len(own))
+        uses = (*own[:N_USES_MAX], *islice(self._relayed_uses(), n_free))
         return replace(digest, uses=digest.uses + uses)
 
     def _own_uses(self) -> list[ClassUse]:
         now_ms = self._clock.now_ms()
-        # Elapsed time as sequence dates the news for whoever hears it relayed.
+        # The sequence is the elapsed time, so that instances that receive a relayed
+        # report can date it.
         sequence = int(now_ms - self._started_ms)
         return [
             ClassUse(
@@ -78,11 +80,11 @@
             for class_name, served_cost in admission.served_cost.items()
         ]
 
-    def _relayed(self) -> list[ClassUse]:
-        return [ClassUse(**asdict(news)) for news in self._ledger.newest()]
+    def _relayed_uses(self) -> list[ClassUse]:
+        return [ClassUse(**asdict(report)) for report in self._ledger.newest()]
 
     def absorb(self, digest: PeerDigest) -> None:
-        """Count the service that a peer reports and was not counted before."""
+        """Count the service in a peer's digest that was not counted before."""
         now_ms = self._clock.now_ms()
         admissions = dict(self._admissions.items())
         for use in digest.uses:
@@ -93,44 +95,53 @@
             if admission is not None and added_cost > 0.0:
                 admission.on_fleet_use(use.class_name, added_cost)
 
-    def update_parts(self) -> None:
-        """Set this instance's part of each group from the demand known."""
+    def update_quotas(self) -> None:
+        """Set this instance's quota of each group from the known demand."""
         now_ms = self._clock.now_ms()
         members = frozenset(member.name for member in self._read_members())
-        self._ledger.forget(members, now_ms - FORGET_MS)
+        self._ledger.forget(members, now_ms - RETENTION_MS)
         for group, admission in self._admissions.items():
             costs = admission.offered.by_class(now_ms)
             n_instances = 1 + len(members)
-            part = self._part(group, None, sum(costs.values()), n_instances)
-            class_parts = tuple(
-                (name, self._part(group, name, cost, n_instances))
+            quota_ratio = self._demand_ratio(
+                group, None, sum(costs.values()), n_instances
+            )
+            class_demand_ratios = tuple(
+                (name, self._demand_ratio(group, name, cost, n_instances))
                 for name, cost in costs.items()
             )
-            admission.set_part(part, class_parts)
+            admission.set_quota(quota_ratio, class_demand_ratios)
             for name, cost in costs.items():
-                others_cost = self._others_cost(group, name, n_instances)
-                admission.on_fleet_demand(name, cost + others_cost)
+                other_instances_cost = self._other_instances_cost(
+                    group, name, n_instances
+                )
+                admission.on_fleet_demand(name, cost + other_instances_cost)
+
+    def _other_instances_cost(
+        self, group: str, class_name: str, n_instances: int
+    ) -> float:
+        """Return the demand on the other instances.
 
-    def _others_cost(self, group: str, class_name: str, n_instances: int) -> float:
-        """Return the demand at the others, taking silent ones for average."""
-        since_ms = self._clock.now_ms() - FRESH_MS
+        Instances without a recent report are counted with the average demand.
+        """
+        since_ms = self._clock.now_ms() - REPORT_MAX_AGE_MS
         demand = self._ledger.demand_by_instance(group, since_ms, class_name)
         known_cost = sum(item.cost for item in demand.values())
         return known_cost * (n_instances - 1) / len(demand) if demand else 0.0
 
-    def _part(
+    def _demand_ratio(
         self, group: str, class_name: str | None, own_cost: float, n_instances: int
     ) -> float:
         now_ms = self._clock.now_ms()
         history = self._histories.setdefault((group, class_name), DemandHistory())
         history.add(self._incarnation + now_ms - self._started_ms, own_cost)
-        since_ms = now_ms - FRESH_MS
+        since_ms = now_ms - REPORT_MAX_AGE_MS
         demand = self._ledger.demand_by_instance(group, since_ms, class_name)
         return part_of_demand(history, demand.values(), n_instances)
 
     async def run(self) -> None:
-        """Keep parts and limits up to date until cancelled."""
+        """Update quotas and limits until cancelled."""
         while True:
-            self.update_parts()
+            self.update_quotas()
             self._admissions.adapt()
             await self._clock.sleep_ms(UPDATE_INTERVAL_MS)
--- a/chestnuthall/services/_fleet_view.py
+++ b/chestnuthall/services/_fleet_view.py
@@ -1,4 +1,4 @@
-"""What operators see of a fleet, and what they ask of its instances."""
+"""Queries the state of a fleet and sends operators' commands to its instances."""
 
 import asyncio
 from collections.abc import Callable
@@ -24,9 +24,9 @@
 PARTITION_MAP_KIND = "partition-maps"
 STORE_TIMEOUT_MS = 2_000.0
 ADMIN_TIMEOUT_MS = 2_000.0
-# Instances asked at once, so that a large fleet does not exhaust the sockets
-# of the machine that the tool runs on.
-N_ASKED_AT_ONCE = 64
+# Maximum number of concurrent requests. More could exhaust the sockets of the
+# machine that the command-line tool runs on if the fleet is large.
+N_CONCURRENT_REQUESTS_MAX = 64
 SUCCESS_NAMES = ("OK", "OK_PARTIAL")
 
 MapReader = Callable[[str], PartitionMap | Failure]
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Seen:
-    """A listed instance with its status, or why there is none."""
+    """A listed instance with its status, or the failure of the query."""
 
     listed: ListedInstance
     status: InstanceStatus | Failure
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SeenUpstream:
-    """A replica of a group's newest map with what it says about itself."""
+    """A replica of a group's newest map with its own state or a failure."""
 
     group: str
     shard_id: str
@@ -53,7 +53,7 @@
 
 
 class FleetView:
-    """Lists instances and asks them over the operators' interface."""
+    """Lists instances and sends requests to their administration interface."""
 
     def __init__(
         self,
@@ -68,7 +68,7 @@
         self._admin = admin
         self._clock = clock
         self._read_listed = read_listed
-        self._slots = asyncio.Semaphore(N_ASKED_AT_ONCE)
+        self._request_slots = asyncio.Semaphore(N_CONCURRENT_REQUESTS_MAX)
 
     async def listed(self) -> tuple[ListedInstance, ...] | Failure:
         """Return the platform's list of instances and upstreams."""
@@ -86,16 +86,18 @@
         return tuple(x for x in listed if x.role == "entry" and x.state == "live")
 
     async def see(self, instances: tuple[ListedInstance, ...]) -> tuple[Seen, ...]:
-        """Ask instances for their status."""
-        return tuple(await asyncio.gather(*(self._see(item) for item in instances)))
+        """Query the status of instances."""
+        return tuple(
+            await asyncio.gather(*(self._query_status(item) for item in instances))
+        )
 
-    async def _see(self, listed: ListedInstance) -> Seen:
-        async with self._slots:
+    async def _query_status(self, listed: ListedInstance) -> Seen:
+        async with self._request_slots:
             status = await self._admin.status(listed.address, ADMIN_TIMEOUT_MS)
         return Seen(listed, status)
 
     async def upstreams(self) -> tuple[SeenUpstream, ...] | Failure:
-        """Ask every replica of the published partition maps for its health."""
+        """Query the state of every replica of the published partition maps."""
         objects = await self._store.list_kind(PARTITION_MAP_KIND, STORE_TIMEOUT_MS)
         if isinstance(objects, Failure):
             return objects
@@ -103,7 +105,7 @@
         return tuple(
             await asyncio.gather(
                 *(
-                    self._see_upstream(item.group, shard.shard_id, replica)
+                    self._query_upstream_state(item.group, shard.shard_id, replica)
                     for item in maps
                     if not isinstance(item, Failure)
                     for shard in item.shards
@@ -112,20 +114,20 @@
             )
         )
 
-    async def _see_upstream(
+    async def _query_upstream_state(
         self, group: str, shard_id: str, replica: Replica
     ) -> SeenUpstream:
-        async with self._slots:
+        async with self._request_slots:
             state = await self._admin.upstream_state(replica.address, ADMIN_TIMEOUT_MS)
         return SeenUpstream(group, shard_id, replica, state)
 
     async def announce(
         self, instances: tuple[ListedInstance, ...], stored_text: str
     ) -> int:
-        """Tell instances of an accepted revision; return how many took it in.
+        """Send an accepted revision to instances; return how many accepted it.
 
-        An instance of another environment rejects the offer, and one that
-        does not answer learns of the revision from the store or a peer.
+        An instance of another environment rejects it, and an unresponsive one gets
+        the revision from the store or a peer.
         """
         results = await asyncio.gather(
             *(self._announce(item, stored_text) for item in instances)
@@ -133,7 +135,7 @@
         return sum(1 for result in results if not isinstance(result, Failure))
 
     async def _announce(self, listed: ListedInstance, text: str) -> int | Failure:
-        async with self._slots:
+        async with self._request_slots:
             return await self._admin.announce(listed.address, text, ADMIN_TIMEOUT_MS)
 
     async def wait_in_force(
@@ -146,16 +148,18 @@
     ) -> tuple[Seen, ...]:
         """Wait until every instance has a revision, or a later one, in force.
 
-        Returns the instances that do not have it when the time is up. An
-        instance that does not answer counts as one of them.
+        Return the instances that do not have it at the timeout, which include
+        unresponsive ones.
         """
-        ends_at_ms = self._clock.now_ms() + timeout_ms
+        expires_at_ms = self._clock.now_ms() + timeout_ms
         while True:
             seen = await self.see(instances)
-            seen = tuple(x for x in seen if _may_follow(x, record.environment))
-            behind = tuple(item for item in seen if not _has(item, record))
+            seen = tuple(
+                x for x in seen if _may_be_in_environment(x, record.environment)
+            )
+            behind = tuple(item for item in seen if not _has_revision(item, record))
             on_progress(len(seen) - len(behind), len(seen))
-            if not behind or self._clock.now_ms() >= ends_at_ms:
+            if not behind or self._clock.now_ms() >= expires_at_ms:
                 return behind
             await self._clock.sleep_ms(interval_ms)
 
@@ -165,7 +169,7 @@
         instances: tuple[ListedInstance, ...],
         fast_burn_classes: tuple[str, ...],
     ) -> TrialEvidence:
-        """Gather what the instances of an environment show about a revision."""
+        """Return the evidence of an environment's instances about a revision."""
         seen = await self.see(instances)
         statuses = [item.status for item in seen]
         return TrialEvidence(
@@ -184,7 +188,7 @@
         )
 
     async def drain_instance(self, name: str) -> Failure | None:
-        """Ask one instance to leave gracefully."""
+        """Request a graceful shutdown of one instance."""
         instances = await self.entries()
         if isinstance(instances, Failure):
             return instances
@@ -197,7 +201,7 @@
         return NOT_FOUND.because(f"no live instance named {name!r}; there are {known}")
 
     async def drain_upstream(self, name: str) -> dict[str, Failure | None] | Failure:
-        """Ask every instance to send no new calls to an upstream replica."""
+        """Request that no instance send new calls to an upstream replica."""
         instances = await self.entries()
         if isinstance(instances, Failure):
             return instances
@@ -227,7 +231,7 @@
     async def lift_quarantine(
         self, fingerprint: str
     ) -> dict[str, bool | Failure] | Failure:
-        """Lift a quarantine on every instance; return what each one says."""
+        """Lift a quarantine on every instance; return the result of each by name."""
         instances = await self.entries()
         if isinstance(instances, Failure):
             return instances
@@ -240,12 +244,12 @@
         return {x.name: result for x, result in zip(instances, results, strict=True)}
 
 
-def _may_follow(seen: Seen, environment: str) -> bool:
+def _may_be_in_environment(seen: Seen, environment: str) -> bool:
     status = seen.status
     return isinstance(status, Failure) or status.environment == environment
 
 
-def _has(seen: Seen, record: RevisionRecord) -> bool:
+def _has_revision(seen: Seen, record: RevisionRecord) -> bool:
     status = seen.status
     return not isinstance(status, Failure) and status.revision >= record.revision
 
--- a/chestnuthall/services/_group_directory.py
+++ b/chestnuthall/services/_group_directory.py
@@ -1,4 +1,4 @@
-"""What the query service asks of a directory of upstreams."""
+"""Interface of the directories of upstreams that the query service uses."""
 
 from typing import Protocol
 
@@ -7,10 +7,10 @@
 
 
 class GroupDirectory(Protocol):
-    """Knows the shards and replicas of each upstream group."""
+    """Provides the partition maps and the routers of the upstream groups."""
 
     def add_group(self, group: UpstreamGroup) -> None:
-        """Start to keep replica statistics for a group."""
+        """Create the router of a group, which keeps its replica statistics."""
         ...
 
     def router(self, group_name: str) -> Router:
@@ -26,5 +26,5 @@
     async def pin_another(
         self, group_name: str, gone: tuple[int, ...]
     ) -> PartitionMap | None:
-        """Return a map of a snapshot that is not gone, or None."""
+        """Return a map of a snapshot that is still available, or None."""
         ...
--- a/chestnuthall/services/_health_checks.py
+++ b/chestnuthall/services/_health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks of replicas, divided over the instances."""
+"""Runs the health checks of replicas, divided over the instances."""
 
 import asyncio
 from random import Random
@@ -12,20 +12,20 @@
 from chestnuthall.services._drain_news import DrainNews
 from chestnuthall.services._membership import Membership
 
-# 13,000 replicas over 1,900 instances are 7 for each, which makes 1.4 checks
-# a second.
+# With 13,000 replicas and 1,900 instances, each instance checks 7 replicas, which is
+# 1.4 checks per second.
 CHECK_INTERVAL_MS = 5_000.0
 DRAINED_CHECK_INTERVAL_MS = 1_000.0
 HEALTH_TIMEOUT_MS = 500.0
-# The ring is asked about so many replicas before other work gets its turn.
+# Number of look-ups in the hash ring between two yields to the event loop.
 N_REPLICAS_PER_TURN = 500
-# A drained replica is checked by two instances, because the end of its drain
-# must not depend on one of them.
+# Each drained replica is checked by two instances, so that the end of its drain is
+# detected even if one of them fails.
 N_CHECKERS_OF_DRAINED = 2
 
 
 class HealthChecks:
-    """Checks the replicas that fall to this instance by the hash ring."""
+    """Checks the replicas that the hash ring assigns to this instance."""
 
     def __init__(
         self,
@@ -49,19 +49,19 @@
 
     async def _run_all(self) -> None:
         while True:
-            duty = await self._duty(tuple(self._directory.replicas()), 1)
-            for group, replica in duty:
-                # The checks are spread over the interval.
-                await self._clock.sleep_ms(CHECK_INTERVAL_MS / len(duty))
+            own_replicas = await self._select_own(tuple(self._directory.replicas()), 1)
+            for group, replica in own_replicas:
+                # The checks are distributed evenly over the interval.
+                await self._clock.sleep_ms(CHECK_INTERVAL_MS / len(own_replicas))
                 await self._check(group, replica)
-            if not duty:
+            if not own_replicas:
                 await self._clock.sleep_ms(CHECK_INTERVAL_MS)
 
     async def _run_drained(self) -> None:
         while True:
             jitter = self._random.uniform(0.9, 1.1)
             await self._clock.sleep_ms(DRAINED_CHECK_INTERVAL_MS * jitter)
-            self._drains.apply_again()
+            self._drains.reapply()
             names = {notice.replica_name for notice in self._drains.active()}
             if names:
                 await self._check_drained(names)
@@ -70,26 +70,28 @@
         drained = tuple(
             item for item in self._directory.replicas() if item[1].name in names
         )
-        duty = await self._duty(drained, N_CHECKERS_OF_DRAINED)
-        await asyncio.gather(*(self._check(group, item) for group, item in duty))
+        own_replicas = await self._select_own(drained, N_CHECKERS_OF_DRAINED)
+        await asyncio.gather(
+            *(self._check(group, item) for group, item in own_replicas)
+        )
 
-    async def _duty(
+    async def _select_own(
         self, replicas: tuple[tuple[str, Replica], ...], n_checkers: int
     ) -> list[tuple[str, Replica]]:
-        """Return those of the replicas that this instance has to check."""
+        """Return the replicas that this instance has to check."""
         own_name = self._membership.identity.name
         peers = (member.name for member in self._membership.members())
         ring = HashRing([own_name, *peers])
-        duty = []
+        own_replicas = []
         for index, (group, replica) in enumerate(replicas):
             if own_name in ring.owners(replica.name, n_checkers):
-                duty.append((group, replica))
+                own_replicas.append((group, replica))
             if index % N_REPLICAS_PER_TURN == N_REPLICAS_PER_TURN - 1:
                 await self._clock.sleep_ms(0.0)
-        return duty
+        return own_replicas
 
     async def _check(self, group: str, replica: Replica) -> None:
-        began_ms = self._clock.now_ms()
+        started_ms = self._clock.now_ms()
         result = await self._health.check_health(group, replica, HEALTH_TIMEOUT_MS)
         if self._drains.is_listed_leaving(replica.name):
             self._drains.signal(replica.name, DrainSignal.LIST)
@@ -99,4 +101,4 @@
         elif result:
             self._drains.signal(replica.name, DrainSignal.HEALTH)
         else:
-            self._drains.note_back(replica.name, DrainSignal.HEALTH, began_ms)
+            self._drains.note_back(replica.name, DrainSignal.HEALTH, started_ms)
--- a/chestnuthall/services/_outcomes.py
+++ b/chestnuthall/services/_outcomes.py
@@ -1,4 +1,4 @@
-"""Logs and counts what requests end with."""
+"""Logs and counts the outcomes of requests."""
 
 import logging
 from functools import singledispatchmethod
@@ -12,13 +12,13 @@
 
 _log = logging.getLogger(__name__)
 
-# A class that the document does not know stands in no metric name, since
-# callers could otherwise make up any number of names.
+# Replaces, in metric names, a class that the document does not define. Otherwise
+# callers could create any number of metrics.
 UNKNOWN_CLASS_NAME = "unknown"
 
 
 class OutcomeRecorder:
-    """Takes each outcome once; the text of a query appears nowhere."""
+    """Logs and counts each outcome, without the text of the query."""
 
     def __init__(
         self,
@@ -34,29 +34,29 @@
         """Log and count one outcome."""
         account = outcome.account
         result = ResultCode(account.result_code).name.lower()
-        class_name = self._known_class(account.class_name)
+        class_name = self._metric_class_name(account.class_name)
         self._metrics.count(f"outcomes.{class_name}.{result}")
         self._burn.record(outcome)
-        self._write(outcome)
+        self._log_outcome(outcome)
 
-    def _known_class(self, class_name: str) -> str:
+    def _metric_class_name(self, class_name: str) -> str:
         in_force = self._configuration.in_force
         if in_force is None or in_force.document.class_named(class_name) is None:
             return UNKNOWN_CLASS_NAME
         return class_name
 
     @singledispatchmethod
-    def _write(self, outcome: Answer | Refusal) -> None:
+    def _log_outcome(self, outcome: Answer | Refusal) -> None:
         raise TypeError(f"not an outcome: {type(outcome).__name__}")
 
-    @_write.register
+    @_log_outcome.register
     def _(self, outcome: Answer) -> None:
-        # The fields are put together only if they are written, because answers
-        # come at the full rate of requests.
+        # The fields are built only if they are logged, because answers occur at the
+        # full request rate.
         if _log.isEnabledFor(logging.DEBUG):
             _log.debug("request answered", extra=outcome_fields(outcome.account))
 
-    @_write.register
+    @_log_outcome.register
     def _(self, outcome: Refusal) -> None:
         fields = outcome_fields(outcome.account)
         if outcome.failure.kind is INTERNAL_ERROR:
--- a/chestnuthall/services/_peer_sets.py
+++ b/chestnuthall/services/_peer_sets.py
@@ -1,4 +1,4 @@
-"""Peers that answer for sets of shards."""
+"""Combines shards into sets that peers answer for, and calls these peers."""
 
 from collections.abc import Callable, Sequence
 
@@ -13,12 +13,13 @@
 )
 from chestnuthall.services._presence import InstanceEntry
 
-# Peers that one instance calls; connections to more would seldom be warm.
-N_PEERS_USED = 6
+# Maximum number of peers that one instance calls. With more, most connections
+# would be idle too long to be warm.
+N_PEERS_MAX = 6
 
 
 class PeerSets:
-    """Joins shards that are far from this instance into sets for its peers."""
+    """Combines remote shards into sets that peers in their zones answer for."""
 
     def __init__(
         self,
@@ -29,29 +30,29 @@
         self._own_name = own_name
         self._own_zone = own_zone
         self._peers = peers
-        self._known: Sequence[InstanceEntry] = ()
-        self._chosen: dict[frozenset[str], tuple[Replica, ...]] = {}
+        self._known_peers: Sequence[InstanceEntry] = ()
+        self._chosen_by_zones: dict[frozenset[str], tuple[Replica, ...]] = {}
 
     def bundle(self, shards: Sequence[Shard]) -> tuple[Shard, ...]:
-        """Return the shards, those far away as one set where a peer is nearer."""
-        return bundle_far_shards(shards, self._own_zone, self._peers_in)
+        """Return the shards, with remote ones combined where a peer is nearer."""
+        return bundle_far_shards(shards, self._own_zone, self._peers_in_zones)
 
-    def _peers_in(self, zones: frozenset[str]) -> tuple[Replica, ...]:
-        """Return a few peers in the zones, other ones for each instance."""
+    def _peers_in_zones(self, zones: frozenset[str]) -> tuple[Replica, ...]:
+        """Return a few peers in the zones; the choice differs between instances."""
         known = self._peers()
-        if known is not self._known:
-            self._known = known
-            self._chosen.clear()
-        chosen = self._chosen.get(zones)
+        if known is not self._known_peers:
+            self._known_peers = known
+            self._chosen_by_zones.clear()
+        chosen = self._chosen_by_zones.get(zones)
         if chosen is None:
-            chosen = self._chosen[zones] = self._choose(zones)
+            chosen = self._chosen_by_zones[zones] = self._choose(zones)
         return chosen
 
     def _choose(self, zones: frozenset[str]) -> tuple[Replica, ...]:
-        by_name = {item.name: item for item in self._known if item.zone in zones}
+        by_name = {item.name: item for item in self._known_peers if item.zone in zones}
         if not by_name:
             return ()
-        names = HashRing(by_name).owners(self._own_name, N_PEERS_USED)
+        names = HashRing(by_name).owners(self._own_name, N_PEERS_MAX)
         return tuple(
             Replica(name, by_name[name].address, by_name[name].zone) for name in names
         )
@@ -63,22 +64,26 @@
     def __init__(self, replicas: ShardCaller, peers: ShardCaller) -> None:
         self._replicas = replicas
         self._peers = peers
-        # The check of a protocol takes as long as a part of the call.
-        self._direct = {
+        # Cached, because the isinstance check of a protocol takes a noticeable
+        # fraction of the time of a call.
+        self._direct_callers = {
             is_set: caller if isinstance(caller, DirectShardCaller) else None
             for is_set, caller in ((False, replicas), (True, peers))
         }
 
-    def _caller(self, call: ShardCall) -> ShardCaller:
+    def _caller_for(self, call: ShardCall) -> ShardCaller:
         return self._replicas if call.shard_set is None else self._peers
 
     async def call(self, call: ShardCall) -> ShardAnswer | Failure:
-        """Run one call and return the whole answer that echoes its id."""
-        return await self._caller(call).call(call)
+        """Run one call and return the complete answer that echoes its id."""
+        return await self._caller_for(call).call(call)
 
     def begin(self, call: ShardCall, on_result: CallListener) -> CancelCall | None:
-        """Start a call and return its cancellation; None if it has to wait."""
-        direct = self._direct[call.shard_set is not None]
+        """Start a call and return the function that cancels it.
+
+        Return None if the call cannot be started without waiting.
+        """
+        direct = self._direct_callers[call.shard_set is not None]
         return None if direct is None else direct.begin(call, on_result)
 
     def set_connection_budget(
--- a/chestnuthall/services/_quarantine_news.py
+++ b/chestnuthall/services/_quarantine_news.py
@@ -1,4 +1,4 @@
-"""Quarantines of crashing requests, exchanged with peers."""
+"""Exchanges quarantine notices of crashing requests with peers."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, replace
@@ -14,17 +14,18 @@
 N_NOTICES_MAX = 8
 N_REPLICA_NAMES_MAX = 4
 N_TRANSMISSIONS_MAX = 24
-# Longer than any message takes; a notice that ends sooner is not sent.
+# A notice that expires sooner than this is not sent. The value exceeds the delay of
+# any message, so that no notice expires on its way.
 REMAINING_MIN_MS = 1_000.0
-# How often the register is searched for losses that this instance saw.
-LOOK_INTERVAL_MS = 100.0
-# A lifted quarantine is told until every peer has heard of it.
-LIFTED_MS = 60_000.0
+# Interval at which the registry is polled for losses that this instance observed.
+POLL_INTERVAL_MS = 100.0
+# Time for which the lift of a quarantine is sent, so that every peer receives it.
+LIFT_RETENTION_MS = 60_000.0
 
 
 @dataclass(slots=True)
-class _Told:
-    """What was last told or heard of one fingerprint."""
+class _NoticeState:
+    """The last notice of a fingerprint that was created or received."""
 
     sequence: int
     replica_names: frozenset[str]
@@ -33,141 +34,150 @@
 
 
 class QuarantineNews:
-    """Tells peers of losses and of lifted quarantines, and takes in theirs.
+    """Exchanges notices of replica losses and of lifted quarantines with peers.
 
     ``zone_of`` returns the availability zone of a replica by its name. A notice
-    that is already known changes nothing, so that an echo cannot
-    prolong a quarantine or put a lifted one back.
+    that is already known changes nothing. Otherwise a notice that returns from a
+    peer could extend a quarantine or restore a lifted one.
     """
 
     def __init__(
         self,
-        register: QuarantineRegister,
+        registry: QuarantineRegister,
         clock: Clock,
-        spread: Callable[[int], Awaitable[None]],
+        disseminate: Callable[[int], Awaitable[None]],
         zone_of: Callable[[str], str] = lambda replica_name: replica_name,
     ) -> None:
         self._zone_of = zone_of
-        self._register = register
+        self._registry = registry
         self._clock = clock
-        self._spread = spread
-        self._told: dict[str, _Told] = {}
-        self._must_spread = False
-        register.on_change(self._on_change)
+        self._disseminate = disseminate
+        self._notices: dict[str, _NoticeState] = {}
+        self._has_unsent_notices = False
+        registry.on_change(self._on_change)
 
     def _on_change(self, fingerprint: str, state: SuspicionState, is_own: bool) -> None:
-        """Tell peers that a request was cleared here, as a lift of its suspicion."""
-        if state is SuspicionState.CLEARED and is_own and fingerprint in self._told:
-            self._tell(fingerprint, frozenset(), self._clock.now_ms() + LIFTED_MS)
-            self._must_spread = True
+        """Create a lift notice for a suspicion that this instance cleared."""
+        if state is SuspicionState.CLEARED and is_own and fingerprint in self._notices:
+            self._create_notice(
+                fingerprint, frozenset(), self._clock.now_ms() + LIFT_RETENTION_MS
+            )
+            self._has_unsent_notices = True
 
     async def run(self) -> None:
-        """Tell peers at once of what is new, until cancelled."""
+        """Send new notices to peers until cancelled."""
         while True:
-            await self._clock.sleep_ms(LOOK_INTERVAL_MS)
-            if self._note_own_losses() or self._must_spread:
-                self._must_spread = False
-                await self._spread(N_URGENT_PEERS)
+            await self._clock.sleep_ms(POLL_INTERVAL_MS)
+            if self._record_own_losses() or self._has_unsent_notices:
+                self._has_unsent_notices = False
+                await self._disseminate(N_URGENT_PEERS)
 
     def suspicions(self) -> tuple[Suspicion, ...]:
-        """Return the fingerprints that have cost replicas."""
-        return self._register.suspicions(self._clock.now_ms())
+        """Return the suspicions of requests during which replicas were lost."""
+        return self._registry.suspicions(self._clock.now_ms())
 
     def is_quarantined(self, fingerprint: str) -> bool:
-        """Return whether a request is refused now."""
-        return self._register.is_quarantined(fingerprint, self._clock.now_ms())
+        """Return whether a request is quarantined now."""
+        return self._registry.is_quarantined(fingerprint, self._clock.now_ms())
 
     async def lift(self, fingerprint: str) -> bool:
-        """End a quarantine here and at all peers; return whether it was known."""
-        was_known = self._register.lift(fingerprint)
-        self._tell(fingerprint, frozenset(), self._clock.now_ms() + LIFTED_MS)
-        await self._spread(N_URGENT_PEERS)
+        """End a quarantine on all instances; return whether it was known here."""
+        was_known = self._registry.lift(fingerprint)
+        self._create_notice(
+            fingerprint, frozenset(), self._clock.now_ms() + LIFT_RETENTION_MS
+        )
+        await self._disseminate(N_URGENT_PEERS)
         return was_known
 
     def fill(self, digest: PeerDigest) -> PeerDigest:
         """Return the digest with the quarantine notices added."""
-        self._note_own_losses()
+        self._record_own_losses()
         now_ms = self._clock.now_ms()
         pending = sorted(
-            (told.n_sent, name)
-            for name, told in self._told.items()
-            if told.n_sent < N_TRANSMISSIONS_MAX
-            and told.expires_ms - now_ms >= REMAINING_MIN_MS
+            (entry.n_sent, name)
+            for name, entry in self._notices.items()
+            if entry.n_sent < N_TRANSMISSIONS_MAX
+            and entry.expires_ms - now_ms >= REMAINING_MIN_MS
         )
         chosen = [name for _, name in pending[:N_NOTICES_MAX]]
         return replace(
-            digest, quarantines=tuple(self._notice(name, now_ms) for name in chosen)
+            digest,
+            quarantines=tuple(self._to_port_notice(name, now_ms) for name in chosen),
         )
 
-    def _notice(self, fingerprint: str, now_ms: float) -> QuarantineNotice:
-        told = self._told[fingerprint]
-        told.n_sent += 1
-        names = tuple(sorted(told.replica_names)[:N_REPLICA_NAMES_MAX])
+    def _to_port_notice(self, fingerprint: str, now_ms: float) -> QuarantineNotice:
+        entry = self._notices[fingerprint]
+        entry.n_sent += 1
+        names = tuple(sorted(entry.replica_names)[:N_REPLICA_NAMES_MAX])
         return QuarantineNotice(
-            fingerprint, names, told.expires_ms - now_ms, told.sequence
+            fingerprint, names, entry.expires_ms - now_ms, entry.sequence
         )
 
     def absorb(self, digest: PeerDigest) -> None:
-        """Take in the quarantine notices of a peer."""
-        self._note_own_losses()
+        """Apply the quarantine notices of a peer."""
+        self._record_own_losses()
         for notice in digest.quarantines:
-            self._take_in(notice)
+            self._apply_notice(notice)
 
-    def _take_in(self, notice: QuarantineNotice) -> None:
+    def _apply_notice(self, notice: QuarantineNotice) -> None:
         now_ms = self._clock.now_ms()
-        told = self._told.get(notice.fingerprint)
+        entry = self._notices.get(notice.fingerprint)
         if notice.expires_in_ms <= 0.0:
             return
         names = frozenset(notice.replica_names)
-        is_newer = told is None or notice.sequence > told.sequence
+        is_newer = entry is None or notice.sequence > entry.sequence
         if not names:
             if is_newer:
-                self._register.lift(notice.fingerprint)
-                self._note(notice, names, now_ms)
+                self._registry.lift(notice.fingerprint)
+                self._record_received(notice, names, now_ms)
             return
-        known = frozenset() if told is None else told.replica_names
-        is_lifted = told is not None and not told.replica_names
-        if names <= known or (is_lifted and not is_newer):
+        known_names = frozenset() if entry is None else entry.replica_names
+        is_lifted = entry is not None and not entry.replica_names
+        if names <= known_names or (is_lifted and not is_newer):
             return
         expires_ms = now_ms + notice.expires_in_ms
-        blamed = names | known
-        # Losses that two instances saw in different zones are no zone outage, so
-        # together they are evidence enough.
-        is_evidence = len({self._zone_of(name) for name in blamed}) > 1
-        offered = blamed if is_evidence else names
-        self._register.merge(notice.fingerprint, offered, expires_ms, now_ms)
-        self._note(notice, blamed, now_ms)
-
-    def _note(
+        all_names = names | known_names
+        # Losses in different zones, observed by two instances, are not caused by the
+        # outage of a zone, so together they are sufficient evidence.
+        is_evidence = len({self._zone_of(name) for name in all_names}) > 1
+        offered = all_names if is_evidence else names
+        self._registry.merge(notice.fingerprint, offered, expires_ms, now_ms)
+        self._record_received(notice, all_names, now_ms)
+
+    def _record_received(
         self, notice: QuarantineNotice, names: frozenset[str], now_ms: float
     ) -> None:
-        told = self._told.get(notice.fingerprint)
-        sequence = max(notice.sequence, 0 if told is None else told.sequence)
-        self._told[notice.fingerprint] = _Told(
+        entry = self._notices.get(notice.fingerprint)
+        sequence = max(notice.sequence, 0 if entry is None else entry.sequence)
+        self._notices[notice.fingerprint] = _NoticeState(
             sequence, names, now_ms + notice.expires_in_ms
         )
-        self._must_spread = True
+        self._has_unsent_notices = True
 
-    def _note_own_losses(self) -> bool:
-        """Find losses that only the register knows; return whether any is new."""
+    def _record_own_losses(self) -> bool:
+        """Create notices of new losses in the registry; return whether any are new."""
         now_ms = self._clock.now_ms()
-        has_news = False
-        for suspicion in self._register.suspicions(now_ms):
+        has_new_losses = False
+        for suspicion in self._registry.suspicions(now_ms):
             names = frozenset(suspicion.replica_names)
-            told = self._told.get(suspicion.fingerprint)
-            if told is None or not names <= told.replica_names:
-                self._tell(suspicion.fingerprint, names, suspicion.expires_ms)
-                has_news = True
-        self._forget(now_ms)
-        return has_news
-
-    def _tell(self, fingerprint: str, names: frozenset[str], expires_ms: float) -> None:
-        told = self._told.get(fingerprint)
-        known = 0 if told is None else told.sequence
-        sequence = max(known + 1, int(self._clock.wall_ms()))
-        self._told[fingerprint] = _Told(sequence, names, expires_ms)
-
-    def _forget(self, now_ms: float) -> None:
-        old = [name for name, told in self._told.items() if told.expires_ms <= now_ms]
-        for name in old:
-            del self._told[name]
+            entry = self._notices.get(suspicion.fingerprint)
+            if entry is None or not names <= entry.replica_names:
+                self._create_notice(suspicion.fingerprint, names, suspicion.expires_ms)
+                has_new_losses = True
+        self._remove_expired(now_ms)
+        return has_new_losses
+
+    def _create_notice(
+        self, fingerprint: str, names: frozenset[str], expires_ms: float
+    ) -> None:
+        entry = self._notices.get(fingerprint)
+        last_sequence = 0 if entry is None else entry.sequence
+        sequence = max(last_sequence + 1, int(self._clock.wall_ms()))
+        self._notices[fingerprint] = _NoticeState(sequence, names, expires_ms)
+
+    def _remove_expired(self, now_ms: float) -> None:
+        expired = [
+            name for name, entry in self._notices.items() if entry.expires_ms <= now_ms
+        ]
+        for name in expired:
+            del self._notices[name]
--- a/chestnuthall/services/_query.py
+++ b/chestnuthall/services/_query.py
@@ -1,4 +1,4 @@
-"""One request from admission to its answer."""
+"""Serves one request, from admission to its outcome."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Sequence
@@ -60,16 +60,16 @@
 from chestnuthall.services._claims import ClaimLedger
 from chestnuthall.services._configuration import ConfigurationKeeper
 from chestnuthall.services._decision_log import DecisionLog
-from chestnuthall.services._fan_out_run import CallObserver, FanOutRun, NoOtherMap
+from chestnuthall.services._fan_out_run import CallObserver, FanOutRun, NoReplacementMap
 from chestnuthall.services._group_directory import GroupDirectory
 from chestnuthall.services._membership import Identity
 from chestnuthall.services._query_rules import (
     admission_decision,
-    class_of,
+    bound_deadline,
+    class_for_shard_set,
     failure_without_replicas,
     may_be_bundled,
     n_slots,
-    within_class_deadline,
 )
 from chestnuthall.services._suspects import Suspects
 
@@ -83,7 +83,7 @@
 
 @dataclass(slots=True)
 class _Progress:
-    """What is known about a request while it is being served."""
+    """The mutable state of a request while it is being served."""
 
     request: Request
     arrived_wall_ms: float
@@ -106,7 +106,12 @@
 
 
 class QueryService:
-    """Serves searches, lookups and mutations of callers."""
+    """Serves the requests of callers and peers: searches, lookups and mutations.
+
+    Each request is planned, admitted and run over its shards. ``bundle`` combines
+    shards into sets that peers answer for, ``spread`` sends the quarantine notices
+    to peers, and ``shared_budget`` replaces the extra-load budgets of the classes.
+    """
 
     def __init__(
         self,
@@ -153,8 +158,8 @@
         document = configuration.document
         for group in document.groups:
             self._directory.add_group(group)
-        # A class keeps its credit across revisions. Otherwise each change of
-        # the document would grant the credit of a start again.
+        # A class keeps its extra-load credit across revisions. Otherwise each
+        # change of the document would grant the initial credit again.
         previous = self._budgets
         self._budgets = {
             item.name: self._budget_of(previous.get(item.name), document)
@@ -175,21 +180,21 @@
         return ExtraLoadBudget(document.extra_load)
 
     def admission_of(self, group: UpstreamGroup) -> Admission:
-        """Return the admission of a group, made at its first use."""
+        """Return the admission of a group, created at its first use."""
         configuration = self._configuration.in_force
         document = EnvironmentDocument(classes=(), groups=())
         if configuration is not None:
             document = configuration.document
-        return self._admissions.of(document, group, self._limit_cost(group))
+        return self._admissions.of(document, group, self._slots_cost(group))
 
-    def _limit_cost(self, group: UpstreamGroup) -> float:
+    def _slots_cost(self, group: UpstreamGroup) -> float:
         partition_map = self._directory.pin(group.name)
         if partition_map is None:
             return float(group.n_slots)
         return n_slots(group, partition_map)
 
     async def serve(self, request: Request) -> Outcome:
-        """Serve a request; every expected failure is a ``Refusal``."""
+        """Serve a request; return a ``Refusal`` for every expected failure."""
         progress = _Progress(
             request,
             self._clock.wall_ms(),
@@ -199,9 +204,9 @@
         try:
             outcome = await self._serve(progress)
         except asyncio.CancelledError:
-            self._note_abandoned(request)
+            self._record_abandoned(request)
             raise
-        code = _code_of(outcome)
+        code = _result_code_of(outcome)
         self._metrics.count(f"requests.{kind_of(request)}.{code.name.lower()}")
         duration_ms = self._clock.now_ms() - request.arrived_ms
         self._metrics.timing(f"request_ms.{kind_of(request)}", duration_ms)
@@ -211,7 +216,7 @@
             self._decision_log.request_ended(outcome, progress.decisions)
         return outcome
 
-    def _note_abandoned(self, request: Request) -> None:
+    def _record_abandoned(self, request: Request) -> None:
         self._metrics.count(f"requests.{kind_of(request)}.abandoned")
         if self._decision_log is not None:
             self._decision_log.request_abandoned(request)
@@ -222,7 +227,7 @@
         if isinstance(plan, Failure):
             return self._refuse(progress, plan)
         progress.objective_ms = plan.caller_class.objective.latency_ms
-        request = within_class_deadline(request, plan.caller_class)
+        request = bound_deadline(request, plan.caller_class)
         progress.request = request
         failure = failure_without_replicas(
             request, plan.caller_class, plan.partition_map
@@ -234,11 +239,11 @@
         try:
             ticket = await admission.acquire(request, cost)
         except asyncio.CancelledError:
-            self._abandon(progress)
+            self._release_claim(progress)
             raise
         progress.admission = ticket.account
         if isinstance(ticket, NotAdmitted):
-            self._abandon(progress)
+            self._release_claim(progress)
             return self._refuse(progress, ticket.failure)
         try:
             return await self._run_admitted(progress, plan, admission, ticket)
@@ -261,7 +266,7 @@
         if partition_map is None:
             return NOT_READY.because(f"no partition map of {request.group!r} is known")
         budget = self._budgets[request.class_name]
-        caller_class = class_of(request, caller_class)
+        caller_class = class_for_shard_set(request, caller_class)
         return _Plan(caller_class, group, partition_map, budget)
 
     async def _claim(self, progress: _Progress) -> Failure | None:
@@ -274,8 +279,8 @@
         progress.claim = claimed
         return None
 
-    def _abandon(self, progress: _Progress) -> None:
-        """Release the claim of a request that is not dispatched."""
+    def _release_claim(self, progress: _Progress) -> None:
+        """Release the idempotency key of a request that is not dispatched."""
         if progress.claim is not None and self._ledger is not None:
             self._ledger.abandon(progress.claim)
 
@@ -289,11 +294,11 @@
         request = progress.request
         progress.admitted_wall_ms = self._clock.wall_ms()
         if self._clock.now_ms() >= request.deadline_ms:
-            self._abandon(progress)
+            self._release_claim(progress)
             failure = DEADLINE_PASSED.because("the deadline passed before dispatch")
             return self._refuse(progress, failure)
-        # The map is pinned at the last moment, since the queue may have held
-        # the request across a change of snapshot.
+        # The map is pinned again after the queue, because the snapshot may have
+        # been replaced while the request waited.
         partition_map = self._directory.pin(request.group) or plan.partition_map
         context = FanOutContext(
             router=self._directory.router(request.group),
@@ -310,20 +315,22 @@
             completion = await self._divided_search(request, partition_map, context)
         else:
             observer = partial(admission.on_call_result, ticket)
-            completion = await self._run_here(request, partition_map, context, observer)
+            completion = await self._run_locally(
+                request, partition_map, context, observer
+            )
         if completion.account.n_calls == 0:
-            self._abandon(progress)
+            self._release_claim(progress)
         progress.decisions = (admission_decision(ticket), *completion.decisions)
         return self._finish(progress, completion)
 
-    async def _run_here(
+    async def _run_locally(
         self,
         request: Request,
         partition_map: PartitionMap,
         context: FanOutContext,
         on_call_result: CallObserver,
     ) -> Completion:
-        """Run a request over its shards from this instance."""
+        """Run the fan-out of a request on this instance."""
         run = FanOutRun(
             FanOut(request, partition_map, context),
             self._clock,
@@ -335,31 +342,33 @@
         return await run.complete()
 
     def divide_searches(self, search: DividedSearch) -> None:
-        """Run searches over several instances from now on."""
+        """Set the function that divides each search over several instances."""
         self._divided_search = search
 
     async def run_shards(
         self, request: SearchRequest, sub_map: PartitionMap, context: FanOutContext
     ) -> Completion:
-        """Run a search over some shards of a map, on its snapshot only."""
+        """Run a search over a subset of the shards, without changing its snapshot."""
         run = FanOutRun(
             FanOut(request, sub_map, context),
             self._clock,
             self._caller,
-            NoOtherMap(),
+            NoReplacementMap(),
             self._suspects,
         )
         return await run.complete()
 
     def read_context(self, class_name: str, group_name: str) -> FanOutContext | Failure:
-        """Return what a peer's search shares with the queries of this instance."""
+        """Return the context in which this instance runs a peer's shard set."""
         configuration = self._configuration.in_force
         if configuration is None:
             return NOT_READY.because("no configuration is in force")
         caller_class = configuration.document.class_named(class_name)
         group = configuration.document.group_named(group_name)
         if caller_class is None or group is None:
-            return NOT_READY.because("the class or group is not known here")
+            return NOT_READY.because(
+                "this instance does not know the class or the group"
+            )
         return FanOutContext(
             router=self._directory.router(group_name),
             budget=self._budgets[class_name],
@@ -369,11 +378,11 @@
         )
 
     def _sample_utilisation(self, plan: _Plan, ticket: Admitted) -> float:
-        """Return the average use of this instance's part of a group's slots.
+        """Return the average utilisation of this instance's quota of a group's slots.
 
         Calls in flight are counted, since admission counts a query with all of
-        its calls until the slowest one ends. A query that had to queue for
-        longer than a hedge would wait shows that the group is saturated.
+        its calls until the slowest one ends. The group is taken as saturated if
+        the query was queued for longer than the hedge delay.
         """
         group_name = plan.group.name
         router = self._directory.router(group_name)
@@ -408,7 +417,7 @@
         completion: Completion | None = None,
     ) -> Refusal:
         run, repeat = _run_and_repeat(progress, failure, completion)
-        may_repeat = run is RunState.NO and repeat is Repeat.SAFE
+        is_safe_to_repeat = run is RunState.NO and repeat is Repeat.SAFE
         return Refusal(
             request_id=progress.request.request_id,
             failure=failure,
@@ -416,7 +425,7 @@
             repeat=repeat,
             configuration_revision=progress.revision,
             account=self._account(progress, failure.code, completion),
-            retry_after_ms=self._retry_after_ms if may_repeat else None,
+            retry_after_ms=self._retry_after_ms if is_safe_to_repeat else None,
             reply=None if completion is None else completion.reply,
         )
 
@@ -445,7 +454,7 @@
         )
 
 
-def _code_of(outcome: Outcome) -> ResultCode:
+def _result_code_of(outcome: Outcome) -> ResultCode:
     if isinstance(outcome, Answer):
         return outcome.result_code
     return outcome.failure.code
@@ -454,12 +463,13 @@
 def _run_and_repeat(
     progress: _Progress, failure: Failure, completion: Completion | None
 ) -> tuple[RunState, Repeat]:
-    """Return what a refusal says about this request.
+    """Return whether a refused request was run, and whether it may be repeated.
 
-    Before any shard call the request was not run, and the failure's kind says
-    so where it can be known. Afterwards what the calls did decides: a search
-    whose calls were all refused unstarted was not run, whatever its kind says.
-    A mutation whose key is claimed needs a new key.
+    Before the fan-out, the kind of the failure states both, as far as they are
+    known. Afterwards the results
+    of the calls decide whether it was run: a search whose calls were all refused
+    before they started was not run, whatever the kind of its failure states.
+    A mutation whose key stays claimed needs a new key to be repeated.
     """
     kind = failure.kind
     run, repeat = kind.run, kind.repeat
--- a/chestnuthall/services/_query_rules.py
+++ b/chestnuthall/services/_query_rules.py
@@ -1,4 +1,4 @@
-"""Rules of the query service that need no state of it."""
+"""Rules of the query service that are independent of its state."""
 
 from dataclasses import replace
 
@@ -18,7 +18,7 @@
 
 
 def admission_decision(ticket: Admitted) -> Decision:
-    """Return why a query was admitted, for the log."""
+    """Return the decision by which a query was admitted, for the log."""
     account = ticket.account
     return Decision(
         ticket.admitted_ms,
@@ -30,7 +30,7 @@
 def failure_without_replicas(
     request: Request, caller_class: CallerClass, partition_map: PartitionMap
 ) -> Failure | None:
-    """Return why a query that cannot reach its floor is refused, or None.
+    """Return a failure if too few shards have replicas for the coverage floor.
 
     A group without replicas has no slots, so that the query would wait for
     admission until its deadline.
@@ -45,7 +45,10 @@
 
 
 def n_slots(group: UpstreamGroup, partition_map: PartitionMap) -> float:
-    """Return the slots of all replicas; one that states none has its group's."""
+    """Return the slots of all replicas.
+
+    A replica that does not state its slots has the number of its group.
+    """
     return float(
         sum(
             replica.n_slots or group.n_slots
@@ -58,37 +61,39 @@
 def may_be_bundled(request: Request) -> bool:
     """Return whether peers may answer for some shards of a request.
 
-    A part that a peer has asked for is not divided further.
+    A request by a peer for a set of shards is not divided further.
     """
     return isinstance(request, ScatterRequest) and not request.shard_ids
 
 
-def class_of(request: Request, caller_class: CallerClass) -> CallerClass:
-    """Return the class with the coverage floor of the part that a peer asked for.
+def class_for_shard_set(request: Request, caller_class: CallerClass) -> CallerClass:
+    """Return the class with the coverage floor of the shard set that a peer requests.
+
+    A request for the whole index keeps the floor of its class.
 
     Examples
     --------
-    >>> whole = CallerClass(
+    >>> caller_class = CallerClass(
     ...     name="c", share=1.0, urgency=1, coverage_floor_ratio=0.9, deadline_ms=500.0
     ... )
-    >>> part = ScatterRequest(
+    >>> request = ScatterRequest(
     ...     request_id="q", class_name="c", group="g", arrived_ms=0.0,
     ...     deadline_ms=500.0, fingerprint="f", method="GET", target="/", headers=(),
     ...     body=b"", n_replicas_max=2, n_records_max=5, n_record_bytes=16,
     ...     shard_ids=frozenset({"s0", "s1", "s2", "s3"}), n_missing_max=1,
     ... )
-    >>> class_of(part, whole).coverage_floor_ratio
+    >>> class_for_shard_set(request, caller_class).coverage_floor_ratio
     0.75
     """
     if not isinstance(request, ScatterRequest) or not request.shard_ids:
         return caller_class
     n_shards = len(request.shard_ids)
-    n_wanted = max(1, n_shards - request.n_missing_max)
-    return replace(caller_class, coverage_floor_ratio=n_wanted / n_shards)
+    n_required = max(1, n_shards - request.n_missing_max)
+    return replace(caller_class, coverage_floor_ratio=n_required / n_shards)
 
 
-def within_class_deadline(request: Request, caller_class: CallerClass) -> Request:
-    """Return the request with its deadline bounded by that of its class."""
+def bound_deadline(request: Request, caller_class: CallerClass) -> Request:
+    """Return the request with its deadline limited to that of its class."""
     latest_ms = request.arrived_ms + caller_class.deadline_ms
     if request.deadline_ms <= latest_ms:
         return request
--- a/chestnuthall/services/_relay.py
+++ b/chestnuthall/services/_relay.py
@@ -1,4 +1,4 @@
-"""Requests that are relayed by route: from a host and path to a query."""
+"""Relays requests: maps a host and a path to a route and serves its query."""
 
 from dataclasses import dataclass
 from hashlib import blake2b
@@ -23,11 +23,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RelayCall:
-    """A caller's request before it has a route.
+    """A caller's request before it is matched to a route.
 
-    ``path`` is the target without its query string, and ``deadline_in_ms`` how
-    long the caller waits, or None if it does not say. A peer that
-    divides a search asks for ``shard_ids``, of which ``n_missing_max`` may be missing.
+    ``path`` is the target without its query string, and ``deadline_in_ms`` the
+    caller's timeout, or None if it did not state one. A peer that divides a search
+    requests ``shard_ids``, of which ``n_missing_max`` may be missing.
     """
 
     request_id: str
@@ -44,7 +44,7 @@
 
 
 class RelayService:
-    """Finds the route of each request and has the query service serve it."""
+    """Finds the route of each request and passes it to the query service."""
 
     def __init__(
         self,
@@ -56,12 +56,12 @@
         self._directory = directory
         self._configuration = configuration
         self._splits: dict[str, WeightedSplit] = {}
-        self._floors: dict[str, float] = {}
-        configuration.on_change(self._forget_splits)
-        configuration.on_change(self._note_floors)
+        self._floor_by_group: dict[str, float] = {}
+        configuration.on_change(self._remove_changed_splits)
+        configuration.on_change(self._update_floors)
 
-    def _forget_splits(self, configuration: Configuration) -> None:
-        """Keep the credit of a split that a revision leaves as it was."""
+    def _remove_changed_splits(self, configuration: Configuration) -> None:
+        """Remove the state of the splits whose targets a revision changes."""
         targets = {
             item.name: item.targets for item in configuration.document.routes.routes
         }
@@ -71,26 +71,26 @@
             if targets.get(name) == split.targets
         }
 
-    def _note_floors(self, configuration: Configuration) -> None:
-        """Keep the lowest coverage floor of each set of shards that routes name."""
+    def _update_floors(self, configuration: Configuration) -> None:
+        """Store the lowest coverage floor of each group with a scatter route."""
         document = configuration.document
         floors = {item.name: item.coverage_floor_ratio for item in document.classes}
-        self._floors = {}
+        self._floor_by_group = {}
         for route in document.routes.routes:
             if route.merge is None:
                 continue
             floor = floors[route.class_name]
             for target in route.targets:
-                lowest = self._floors.get(target.group, floor)
-                self._floors[target.group] = min(lowest, floor)
+                lowest = self._floor_by_group.get(target.group, floor)
+                self._floor_by_group[target.group] = min(lowest, floor)
 
     def reaches_floors(self) -> bool:
-        """Return whether the shards of every search have replicas enough.
+        """Return whether enough shards of every searched group have replicas.
 
-        Where they have not, this instance has an old configuration or directory,
-        or all of them are gone; another instance may still serve.
+        If not, the configuration or the directory of this instance is outdated, or
+        all their replicas are unavailable. Another instance may still be able to serve.
         """
-        for group, floor in self._floors.items():
+        for group, floor in self._floor_by_group.items():
             partition_map = self._directory.pin(group)
             if partition_map is None or reachable_ratio(partition_map.shards) < floor:
                 return False
@@ -155,8 +155,8 @@
 
 def _fingerprint(call: RelayCall) -> str:
     digest = blake2b(digest_size=N_FINGERPRINT_BYTES)
-    for part in (call.method, call.host, call.target):
-        digest.update(part.encode())
+    for text in (call.method, call.host, call.target):
+        digest.update(text.encode())
         digest.update(b"\0")
     digest.update(call.body)
     return digest.hexdigest()
--- a/chestnuthall/services/_suspects.py
+++ b/chestnuthall/services/_suspects.py
@@ -1,4 +1,4 @@
-"""Suspected requests: warning the peers and waking the queries that wait."""
+"""Notifies peers and waiting queries of suspected requests."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -6,35 +6,35 @@
 from chestnuthall.core.quarantine import QuarantineRegister, SuspicionState
 from chestnuthall.ports import Clock
 
-# A probe waits this long at most for peers that do not answer. Peers that can be
-# reached answer within a few milliseconds.
+# Maximum time that a probe waits for unresponsive peers. Reachable peers respond
+# within a few milliseconds.
 WARN_TIMEOUT_MS = 100.0
 
 Waiter = Callable[[], None]
 
 
 class Suspects:
-    """Joins the quarantine register to the peers and to the running queries."""
+    """Sends suspicions of the quarantine registry to peers and running queries."""
 
     def __init__(
         self,
-        register: QuarantineRegister,
+        registry: QuarantineRegister,
         clock: Clock,
-        spread: Callable[[], Awaitable[None]] | None,
+        disseminate: Callable[[], Awaitable[None]] | None,
     ) -> None:
         self._clock = clock
-        self._spread = spread
+        self._disseminate = disseminate
         self._waiters: dict[str, list[Waiter]] = {}
-        self._running: asyncio.Task[None] | None = None
-        self._next: asyncio.Task[None] | None = None
-        register.on_change(self._on_change)
+        self._running_round: asyncio.Task[None] | None = None
+        self._next_round: asyncio.Task[None] | None = None
+        registry.on_change(self._on_change)
 
     def add_waiter(self, fingerprint: str, waiter: Waiter) -> None:
-        """Call ``waiter`` when a suspicion of a fingerprint is settled."""
+        """Call ``waiter`` when a suspicion of a fingerprint is resolved."""
         self._waiters.setdefault(fingerprint, []).append(waiter)
 
     def remove_waiter(self, fingerprint: str, waiter: Waiter) -> None:
-        """Stop calling a waiter."""
+        """Remove a waiter that was added before."""
         waiters = self._waiters[fingerprint]
         waiters.remove(waiter)
         if not waiters:
@@ -42,51 +42,56 @@
 
     def _on_change(self, fingerprint: str, state: SuspicionState, is_own: bool) -> None:
         if is_own:
-            self._begin_spread()
+            self._start_round()
         if state is SuspicionState.SUSPECTED:
             return
-        # The change may come out of a query's own event, which has to be
-        # finished before it can take another one.
+        # The change may be caused by an event that a query is handling. A query
+        # cannot handle another event before it has finished that one.
         loop = asyncio.get_running_loop()
         for waiter in self._waiters.get(fingerprint, ()):
             loop.call_soon(waiter)
 
     async def warn_peers(self) -> None:
-        """Return when the peers know, or after ``WARN_TIMEOUT_MS``."""
-        spread = self._begin_spread()
-        if spread is None:
+        """Wait until the peers are notified, for at most ``WARN_TIMEOUT_MS``."""
+        current_round = self._start_round()
+        if current_round is None:
             return
         timer = asyncio.get_running_loop().create_task(
             self._clock.sleep_ms(WARN_TIMEOUT_MS)
         )
         try:
-            await asyncio.wait((spread, timer), return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(
+                (current_round, timer), return_when=asyncio.FIRST_COMPLETED
+            )
         finally:
             timer.cancel()
 
-    def _begin_spread(self) -> "asyncio.Task[None] | None":
-        """Return the round of exchanges that carries everything known now.
+    def _start_round(self) -> "asyncio.Task[None] | None":
+        """Return the round of exchanges that includes all current suspicions.
 
-        One round runs at a time and one waits, so that the loss of a zone, with
-        its many suspicions, does not start a round for each of them.
+        At most one round runs and one is queued, so that the loss of a zone, which
+        causes many suspicions, does not start a round for each of them.
         """
-        if self._spread is None:
+        if self._disseminate is None:
             return None
         loop = asyncio.get_running_loop()
-        if self._running is None or self._running.done():
-            self._running = loop.create_task(self._exchange())
-            return self._running
-        if self._next is None or self._next.done():
-            self._next = loop.create_task(self._exchange_after(self._running))
-        return self._next
+        if self._running_round is None or self._running_round.done():
+            self._running_round = loop.create_task(self._run_round())
+            return self._running_round
+        if self._next_round is None or self._next_round.done():
+            self._next_round = loop.create_task(
+                self._run_round_after(self._running_round)
+            )
+        return self._next_round
 
-    async def _exchange(self) -> None:
-        # The digest is filled after the event that made the news has ended.
-        assert self._spread is not None
-        await self._spread()
+    async def _run_round(self) -> None:
+        # This runs in a task, so the digest is filled after the event that caused
+        # the change has been handled.
+        assert self._disseminate is not None
+        await self._disseminate()
 
-    async def _exchange_after(self, running: "asyncio.Task[None]") -> None:
+    async def _run_round_after(self, running: "asyncio.Task[None]") -> None:
         await asyncio.wait((running,))
-        self._running = asyncio.current_task()
-        self._next = None
-        await self._exchange()
+        self._running_round = asyncio.current_task()
+        self._next_round = None
+        await self._run_round()
--- a/chestnuthall/services/_two_level.py
+++ b/chestnuthall/services/_two_level.py
@@ -1,4 +1,4 @@
-"""A search whose shards are divided over the instances of the fleet."""
+"""Divides the shards of a search over the instances of the fleet."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Sequence
@@ -32,23 +32,23 @@
     [SearchRequest, PartitionMap, FanOutContext], Awaitable[Completion]
 ]
 ContextReader = Callable[[str, str], FanOutContext | Failure]
-# What a peer keeps of the remaining time for its answer to come back.
+# Time before the deadline that is reserved for the transfer of a peer's answer.
 ANSWER_MARGIN_MS = 5.0
 
 
 @dataclass(frozen=True, slots=True)
-class _Part:
-    """The shards of one instance; no address stands for this instance."""
+class _AssignedShards:
+    """The shards assigned to an instance; the address of this instance is None."""
 
     address: str | None
     shards: tuple[Shard, ...]
 
 
 class TwoLevelFanOut:
-    """Divides a search over peers, and answers for sets of shards.
+    """Divides searches over peers, and answers peers' calls for shard sets.
 
-    A peer that fails is replaced by this instance while there is time. Every
-    part is of the pinned snapshot, and the coverage of the parts is summed.
+    If a peer fails, this instance queries its shards in the remaining time. All
+    partial answers are of the pinned snapshot, and their coverage is summed.
     """
 
     def __init__(
@@ -73,11 +73,11 @@
         partition_map: PartitionMap,
         context: FanOutContext,
     ) -> Completion:
-        """Run a search over the fleet."""
+        """Run a search over the instances of the fleet."""
         answers = await asyncio.gather(
             *(
-                self._run_part(part, request, partition_map, context)
-                for part in self._divide(partition_map)
+                self._run_shard_set(shard_set, request, partition_map, context)
+                for shard_set in self._divide(partition_map)
             )
         )
         refused = [
@@ -85,19 +85,19 @@
             for answer in answers
             if isinstance(answer, Failure) and answer.kind is QUARANTINED
         ]
-        parts = [answer for answer in answers if isinstance(answer, PartialAnswer)]
+        partials = [answer for answer in answers if isinstance(answer, PartialAnswer)]
         snapshot_id = partition_map.snapshot_id
-        whole = merge_partials(parts, snapshot_id, request.n_hits_max)
-        failure = refused[0] if refused else _below_floor(whole, context)
+        merged = merge_partials(partials, snapshot_id, request.n_hits_max)
+        failure = refused[0] if refused else _floor_failure(merged, context)
         return Completion(
             failure=failure,
-            hits=() if failure else whole.hits,
-            coverage=whole.coverage,
+            hits=() if failure else merged.hits,
+            coverage=merged.coverage,
             snapshot_id=snapshot_id,
-            account=FanOutAccount(n_calls=whole.n_calls),
+            account=FanOutAccount(n_calls=merged.n_calls),
         )
 
-    def _divide(self, partition_map: PartitionMap) -> list[_Part]:
+    def _divide(self, partition_map: PartitionMap) -> list[_AssignedShards]:
         own_name = self._membership.identity.name
         addresses: dict[str, str | None] = {
             member.name: member.address
@@ -108,39 +108,41 @@
         shards = {shard.shard_id: shard for shard in partition_map.shards}
         assigned = assign_shards(list(shards), addresses)
         return [
-            _Part(addresses[name], tuple(shards[key] for key in shard_ids))
+            _AssignedShards(addresses[name], tuple(shards[key] for key in shard_ids))
             for name, shard_ids in assigned.items()
             if shard_ids
         ]
 
-    async def _run_part(
+    async def _run_shard_set(
         self,
-        part: _Part,
+        shard_set: _AssignedShards,
         request: SearchRequest,
         partition_map: PartitionMap,
         context: FanOutContext,
     ) -> PartialAnswer | Failure:
-        sub_map = replace(partition_map, shards=part.shards)
-        if part.address is not None:
-            answer = await self._ask_peer(part, part.address, request, sub_map)
+        sub_map = replace(partition_map, shards=shard_set.shards)
+        if shard_set.address is not None:
+            answer = await self._query_peer(
+                shard_set, shard_set.address, request, sub_map
+            )
             if _is_usable(answer, sub_map):
                 return answer
-        return await self._run_here(request, sub_map, context)
+        return await self._run_locally(request, sub_map, context)
 
-    async def _ask_peer(
+    async def _query_peer(
         self,
-        part: _Part,
+        shard_set: _AssignedShards,
         address: str,
         request: SearchRequest,
         sub_map: PartitionMap,
     ) -> PartialAnswer | Failure:
         remaining_ms = request.deadline_ms - self._clock.now_ms()
         call = ShardSetCall(
-            call_id=f"{request.request_id}/{part.shards[0].shard_id}",
+            call_id=f"{request.request_id}/{shard_set.shards[0].shard_id}",
             group=request.group,
             class_name=request.class_name,
             snapshot_id=sub_map.snapshot_id,
-            shard_ids=tuple(shard.shard_id for shard in part.shards),
+            shard_ids=tuple(shard.shard_id for shard in shard_set.shards),
             remaining_ms=remaining_ms - ANSWER_MARGIN_MS,
             query=request.query,
             n_hits_max=request.n_hits_max,
@@ -148,10 +150,10 @@
         )
         return await self._peers.query_shards(address, call, remaining_ms)
 
-    async def _run_here(
+    async def _run_locally(
         self, request: SearchRequest, sub_map: PartitionMap, context: FanOutContext
     ) -> PartialAnswer | Failure:
-        # The floor holds for the whole answer, not for each part of it.
+        # The coverage floor applies to the merged answer, not to each partial one.
         caller_class = replace(context.caller_class, coverage_floor_ratio=0.0)
         completion = await self._run_shards(
             request, sub_map, replace(context, caller_class=caller_class)
@@ -161,8 +163,8 @@
             return failure
         n_calls = completion.account.n_calls
         if failure is not None or completion.snapshot_id != sub_map.snapshot_id:
-            nothing = coverage_of(sub_map.shards, {})
-            return PartialAnswer(sub_map.snapshot_id, (), nothing, n_calls)
+            no_coverage = coverage_of(sub_map.shards, {})
+            return PartialAnswer(sub_map.snapshot_id, (), no_coverage, n_calls)
         return PartialAnswer(
             completion.snapshot_id, completion.hits, completion.coverage, n_calls
         )
@@ -172,11 +174,13 @@
         context = self._read_context(call.class_name, call.group)
         if isinstance(context, Failure):
             return context
-        partition_map = self._directory.map_of(call.group, call.snapshot_id)
+        partition_map = self._directory.find_map(call.group, call.snapshot_id)
         if partition_map is None:
             return SNAPSHOT_GONE.because("the peer does not know the snapshot")
-        wanted = set(call.shard_ids)
-        shards = tuple(item for item in partition_map.shards if item.shard_id in wanted)
+        requested = set(call.shard_ids)
+        shards = tuple(
+            item for item in partition_map.shards if item.shard_id in requested
+        )
         now_ms = self._clock.now_ms()
         request = SearchRequest(
             request_id=call.call_id,
@@ -188,13 +192,16 @@
             query=call.query,
             n_hits_max=call.n_hits_max,
         )
-        return await self._run_here(
+        return await self._run_locally(
             request, replace(partition_map, shards=shards), context
         )
 
 
 def _is_usable(answer: PartialAnswer | Failure, sub_map: PartitionMap) -> bool:
-    """Return whether an answer is for exactly the shards that were asked for."""
+    """Return whether an answer is for exactly the requested shards.
+
+    A refusal by quarantine is final, so it is not run on this instance.
+    """
     if isinstance(answer, Failure):
         return answer.kind is QUARANTINED
     coverage = answer.coverage
@@ -209,9 +216,9 @@
     return sum(shard.n_documents for shard in shards)
 
 
-def _below_floor(whole: PartialAnswer, context: FanOutContext) -> Failure | None:
+def _floor_failure(merged: PartialAnswer, context: FanOutContext) -> Failure | None:
     floor = context.caller_class.coverage_floor_ratio
-    ratio = whole.coverage.ratio
+    ratio = merged.coverage.ratio
     if ratio >= floor:
         return None
     return COVERAGE_BELOW_FLOOR.because(
--- a/chestnuthall/services/tests/_world.py
+++ b/chestnuthall/services/tests/_world.py
@@ -1,4 +1,4 @@
-"""A query service over fakes at its ports that record each run."""
+"""A query service over fakes of its ports, which record each shard call."""
 
 import asyncio
 from dataclasses import dataclass, field, replace
@@ -48,7 +48,7 @@
 
 
 def make_map(snapshot_id=1, n_shards=3, n_replicas=3):
-    """Return a map whose zones differ within each shard."""
+    """Return a map in which the replicas of a shard are in different zones."""
     shards = []
     for i in range(n_shards):
         start, end = f"{i}" if i else "", f"{i + 1}" if i < n_shards - 1 else ""
@@ -69,24 +69,24 @@
 
 
 class FakeStore:
-    """Conditional updates in memory; ``is_down`` refuses everything."""
+    """Object store in memory; fails every operation if ``is_unavailable`` is set."""
 
     def __init__(self):
         self.objects = {}
-        self.is_down = False
+        self.is_unavailable = False
 
     async def get(self, kind, name, timeout_ms):
         await asyncio.sleep(0.001)
-        if self.is_down:
-            return STORE_UNAVAILABLE.because("down")
+        if self.is_unavailable:
+            return STORE_UNAVAILABLE.because("the store is unavailable")
         return self.objects.get((kind, name)) or OBJECT_NOT_FOUND.because(name)
 
     async def update(self, kind, name, value, version, timeout_ms):
         await asyncio.sleep(0.001)
-        if self.is_down:
-            return STORE_UNAVAILABLE.because("down")
-        held = self.objects.get((kind, name))
-        if (held.version if held else 0) != version:
+        if self.is_unavailable:
+            return STORE_UNAVAILABLE.because("the store is unavailable")
+        stored = self.objects.get((kind, name))
+        if (stored.version if stored else 0) != version:
             return OBJECT_CONFLICT.because(name)
         self.objects[kind, name] = StoredObject(kind, name, version + 1, value)
         return self.objects[kind, name]
@@ -94,13 +94,17 @@
     async def create(self, kind, name, value, timeout_ms):
         return await self.update(kind, name, value, 0, timeout_ms)
 
-    # The ledger's partitions are kept as they are.
+    # The ledger's partitions are stored without encoding.
     encode = decode = staticmethod(lambda value: value)
 
 
 @dataclass
 class FakeUpstreams:
-    """Shard caller port; ``next_fault`` maps a shard to its next call's fault."""
+    """Fake of the shard caller port.
+
+    ``next_fault`` maps a shard to the fault of its next call, and ``runs`` lists the
+    calls that reached an upstream.
+    """
 
     clock: LoopTimeClock
     random: Random
@@ -124,7 +128,7 @@
             async with asyncio.timeout(max(0.0, remaining_ms) / 1000.0):
                 return await self._call(call)
         except TimeoutError:
-            return CALL_TIMED_OUT.because("late")
+            return CALL_TIMED_OUT.because("the deadline passed")
         finally:
             del self.running[call.call_id]
 
@@ -133,13 +137,15 @@
         await asyncio.sleep(0.001)
         fault = self.next_fault.pop(shard_id, "")
         if name in self.dead or fault == "cut-before":
-            return NO_REPLICA.because("refused")
+            return NO_REPLICA.because("connection refused")
         if self.clock.now_ms() >= call.deadline_ms:
-            return DEADLINE_PASSED.because("paused before the first byte")
+            return DEADLINE_PASSED.because(
+                "the deadline passed before the call was sent"
+            )
         if fault == "shed":
-            return SHED_BY_UPSTREAM.because("full")
+            return SHED_BY_UPSTREAM.because("overloaded")
         if call.snapshot_id not in self.snapshots:
-            return SNAPSHOT_GONE.because("swapped")
+            return SNAPSHOT_GONE.because("the snapshot was replaced")
         self.runs.append((call.request.request_id, shard_id, name))
         self.on_event("written")
         if sum(item.shard_id == shard_id for item in self.running.values()) > 1:
@@ -151,10 +157,10 @@
         if name not in self.dead:
             slow_ms = self.slow_ms.pop(shard_id, 0.0)
             await asyncio.sleep((slow_ms + self.random.uniform(4, 8)) / 1000.0)
-        # A fault that came while the call ran cuts it too.
+        # A fault that was injected while the call ran also affects it.
         fault = fault or self.next_fault.pop(shard_id, "")
         if name in self.dead or fault in ("cut-after", "cut-before", "shed"):
-            return CONNECTION_LOST.because("cut")
+            return CONNECTION_LOST.because("connection reset")
         return self._answer(call, fault)
 
     def _answer(self, call, fault):
@@ -185,15 +191,15 @@
         pass
 
 
-class World:
-    """One instance's services; create it inside a virtual-time loop."""
+class QueryHarness:
+    """The query services of one instance; to be created in a virtual-time loop."""
 
     def __init__(self, seed, upstreams=None, spread=None):
         self.clock = LoopTimeClock()
         self.store = FakeStore()
         self.random = Random(seed)
         self.upstreams = upstreams or FakeUpstreams(self.clock, self.random)
-        self.register = QuarantineRegister(QuarantineSettings())
+        self.registry = QuarantineRegister(QuarantineSettings())
         keeper = ConfigurationKeeper("t", self.store, self.clock, lambda text: None)
         self.directory = Directory(
             self.store,
@@ -212,7 +218,7 @@
             configuration=keeper,
             admissions=Admissions(self.clock),
             ledger=ClaimLedger(self.store, self.clock, self.store, LedgerSettings()),
-            quarantine=self.register,
+            quarantine=self.registry,
             spread=spread,
         )
         document = EnvironmentDocument(
@@ -240,7 +246,7 @@
         self.directory.add_map(make_map())
 
     def request(self, kind, number=1, fingerprint=None, key="key-1"):
-        """Return a request that arrives now."""
+        """Return a request that arrives at the current time."""
         now_ms = self.clock.now_ms()
         shared = {
             "request_id": f"q{number}",
--- a/chestnuthall/services/tests/test_decision_log.py
+++ b/chestnuthall/services/tests/test_decision_log.py
@@ -1,4 +1,8 @@
-"""Guards the bound on decision lines, and what is kept when it is reached."""
+"""Guards the rate limit of decision lines and the precedence of requests in it.
+
+Without the limit, the log would take a large part of the time of the requests. Without
+the precedence, lines of ordinary requests would suppress those of failed ones.
+"""
 
 import logging
 from dataclasses import replace
@@ -50,7 +54,7 @@
 REFUSED = Refusal(
     "q", NO_REPLICA.because("x"), RunState.NO, Repeat.SAFE, 1, replace(ACCOUNT)
 )
-DECISIONS_MADE = [Decision(0.0, DecisionEvent.SETTLED, ("deadline", 1.0, 7))] * 9
+NINE_DECISIONS = [Decision(0.0, DecisionEvent.SETTLED, ("deadline", 1.0, 7))] * 9
 
 
 class Clock:
@@ -70,8 +74,8 @@
     return lambda: caplog.records
 
 
-# (case, outcome, lines written of a hundred requests with nine decisions each)
-FLOODS = [
+# (case, outcome, lines logged for a hundred requests with nine decisions each)
+OVERLOAD_CASES = [
     ("ordinary", ORDINARY, 240 + 76),
     ("late", LATE, 600),
     ("partial", PARTIAL, 600),
@@ -81,35 +85,38 @@
 
 @pytest.mark.parametrize(
     ("outcome", "n_lines"),
-    [case[1:] for case in FLOODS],
-    ids=[case[0] for case in FLOODS],
+    [case[1:] for case in OVERLOAD_CASES],
+    ids=[case[0] for case in OVERLOAD_CASES],
 )
-def test_volume_is_bounded(outcome, n_lines, lines):
+def test_number_of_lines_is_limited(outcome, n_lines, lines):
     log = DecisionLog(Clock(), Metrics())
     for _ in range(100):
-        log.request_ended(outcome, DECISIONS_MADE)
+        log.request_ended(outcome, NINE_DECISIONS)
     assert len(lines()) <= N_LINES_BURST
     assert abs(len(lines()) - n_lines) <= 20
     assert log.budget.n_suppressed > 0
 
 
-def test_lines_of_failures_go_before_those_of_ordinary_requests(lines):
-    """The on-call engineer asks for failed requests, also in a flood of others."""
+def test_failed_request_has_all_lines_after_many_ordinary_ones(lines):
+    """Guards against lost lines of a failed request among many ordinary requests."""
     log = DecisionLog(Clock(), Metrics())
     for _ in range(500):
-        log.request_ended(ORDINARY, DECISIONS_MADE)
+        log.request_ended(ORDINARY, NINE_DECISIONS)
     n_before = len(lines())
-    log.request_ended(REFUSED, DECISIONS_MADE)
-    assert len(lines()) - n_before == len(DECISIONS_MADE) + 1
+    log.request_ended(REFUSED, NINE_DECISIONS)
+    assert len(lines()) - n_before == len(NINE_DECISIONS) + 1
+
 
+def test_lines_are_logged_after_the_response(caplog):
+    """Guards against log lines that delay the response.
 
-def test_lines_wait_for_the_response(caplog):
-    """The lines of a large search delayed its response by 4 ms."""
+    Those of a large search took 4 ms.
+    """
     caplog.set_level(logging.INFO, DECISIONS)
-    later = []
-    log = DecisionLog(Clock(), Metrics(), later.append)
-    log.request_ended(LATE, DECISIONS_MADE)
+    deferred = []
+    log = DecisionLog(Clock(), Metrics(), deferred.append)
+    log.request_ended(LATE, NINE_DECISIONS)
     assert log.budget.n_left == N_LINES_BURST
-    (write,) = later
+    (write,) = deferred
     write()
-    assert log.budget.n_left == N_LINES_BURST - len(DECISIONS_MADE) - 1
+    assert log.budget.n_left == N_LINES_BURST - len(NINE_DECISIONS) - 1
--- a/chestnuthall/services/tests/test_fleet_use.py
+++ b/chestnuthall/services/tests/test_fleet_use.py
@@ -1,4 +1,4 @@
-"""Guards the exchange of use between instances, and admissions over revisions."""
+"""Guards the exchange of usage between instances, and admission across revisions."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
 
 
 class VirtualClock:
-    """The loop's time in milliseconds, with an offset for the wall time."""
+    """The time of the event loop, with an offset for the wall time."""
 
     def __init__(self, wall_ms=1_000_000.0):
         self._wall_ms = wall_ms
@@ -60,7 +60,7 @@
 
 
 class Node:
-    """One instance with its admission of one group."""
+    """One instance with the admission of one group."""
 
     def __init__(self, name, peers=("a", "b")):
         self.clock = VirtualClock()
@@ -71,7 +71,7 @@
         self.use = FleetUse(name, self.clock, self.admissions, lambda: members)
         self.name = name
 
-    def tell(self):
+    def make_digest(self):
         digest = PeerDigest(
             sender=self.name,
             sender_address=self.name,
@@ -94,52 +94,52 @@
         return self.admission._queue.queues["clerk"].normalised_service
 
 
-async def relayed_twice():
+async def receive_report_by_two_paths():
     a, b, c = (Node(name, ("a", "b", "c")) for name in "abc")
     await a.serve(1)
-    for told in (a.tell(), b.tell(), a.tell()):
-        b.use.absorb(told)
-        c.use.absorb(told)
+    for digest in (a.make_digest(), b.make_digest(), a.make_digest()):
+        b.use.absorb(digest)
+        c.use.absorb(digest)
     await a.serve(2)
-    b.use.absorb(a.tell())
+    b.use.absorb(a.make_digest())
     before = c.service()
-    for told in (b.tell(), a.tell(), b.tell()):
-        c.use.absorb(told)
+    for digest in (b.make_digest(), a.make_digest(), b.make_digest()):
+        c.use.absorb(digest)
     return c.service() - before
 
 
-async def own_news_returns():
+async def receive_own_report():
     a, b = Node("a"), Node("b")
     await a.serve(1)
     before = a.service()
     for n_queries in (0, 2):
         await a.serve(n_queries)
-        b.use.absorb(a.tell())
-        a.use.absorb(b.tell())
+        b.use.absorb(a.make_digest())
+        a.use.absorb(b.make_digest())
     return a.service() - before
 
 
-async def skewed_parts():
+async def divide_skewed_demand():
     a, b = Node("a"), Node("b")
     await a.serve(30)
     await b.serve(1)
     for _ in range(2):
-        a.use.update_parts()
-        b.use.update_parts()
-        a.use.absorb(b.tell())
-        b.use.absorb(a.tell())
-    a.use.update_parts()
-    b.use.update_parts()
+        a.use.update_quotas()
+        b.use.update_quotas()
+        a.use.absorb(b.make_digest())
+        b.use.absorb(a.make_digest())
+    a.use.update_quotas()
+    b.use.update_quotas()
     return a.admission.limit_cost + b.admission.limit_cost
 
 
-async def alone():
+async def divide_without_reports():
     a = Node("a", ("a", "b", "c", "d"))
-    a.use.update_parts()
+    a.use.update_quotas()
     return a.admission.limit_cost
 
 
-async def revision_keeps_work():
+async def reconfigure_with_queries():
     a = Node("a", ("a",))
     ticket = await a.admission.acquire(request(1), 100.0)
     waiter = asyncio.create_task(a.admission.acquire(request(2), 40.0))
@@ -154,30 +154,30 @@
 
 
 CASES = {
-    "news_that_comes_by_two_ways_counts_once": (relayed_twice, 20.0),
-    "own_news_that_comes_back_counts_nothing": (own_news_returns, 20.0),
-    "parts_of_two_instances_make_one_group": (skewed_parts, 40.0),
-    "slots_are_divided_equally_without_news": (alone, 10.0),
-    "a_revision_keeps_queued_and_running_work": (revision_keeps_work, 1.0),
+    "report_received_by_two_paths_counts_once": (receive_report_by_two_paths, 20.0),
+    "own_report_relayed_by_a_peer_is_ignored": (receive_own_report, 20.0),
+    "quotas_of_two_instances_sum_to_one_group": (divide_skewed_demand, 40.0),
+    "slots_are_divided_equally_without_reports": (divide_without_reports, 10.0),
+    "revision_keeps_queued_and_running_queries": (reconfigure_with_queries, 1.0),
 }
 
 
 @pytest.mark.parametrize(("case", "expected"), CASES.values(), ids=CASES.keys())
 def test_exchange(case, expected):
-    """Fails when use is counted twice or lost, or slots are given out twice."""
+    """Guards against usage counted twice or lost, and slots assigned twice."""
     assert run_virtual(case()) == pytest.approx(expected, rel=0.01)
 
 
-def test_a_digest_is_bounded():
-    """Fails when the news of a large fleet no longer fits the peers' budget."""
+def test_digest_size_is_limited():
+    """Guards against digests whose size grows with the fleet."""
 
-    async def tell():
+    async def fill_digest():
         names = [f"i{number}" for number in range(200)]
         hub = Node("hub", names)
         for name in names:
             node = Node(name, names)
             await node.serve(1)
-            hub.use.absorb(node.tell())
-        return hub.tell()
+            hub.use.absorb(node.make_digest())
+        return hub.make_digest()
 
-    assert len(run_virtual(tell()).uses) == N_USES_MAX
+    assert len(run_virtual(fill_digest()).uses) == N_USES_MAX
--- a/chestnuthall/services/tests/test_serving.py
+++ b/chestnuthall/services/tests/test_serving.py
@@ -1,39 +1,39 @@
-"""Guards steps of a request that no fault alone brings to light."""
+"""Guards steps of a request that the fault matrix does not cover."""
 
 import pytest
 
 from chestnuthall.core.model import PartitionMap, Refusal
 from chestnuthall.core.results import NO_REPLICA
-from chestnuthall.services.tests._world import World, make_map
+from chestnuthall.services.tests._world import QueryHarness, make_map
 from chestnuthall.standins.virtual_time import run_virtual
 
 
 def test_map_is_pinned_again_after_the_queue():
-    """A snapshot may be replaced while a query waits for admission."""
+    """Guards against a query of a snapshot that was replaced while it was queued."""
 
     async def scenario():
-        world = World(seed=1)
+        harness = QueryHarness(seed=1)
         pinned = [make_map(1), make_map(1)]
-        world.upstreams.snapshots = {1, 2}
-        world.directory.pin = lambda group, excluded=(): (
+        harness.upstreams.snapshots = {1, 2}
+        harness.directory.pin = lambda group, excluded=(): (
             pinned.pop(0) if pinned else make_map(2)
         )
-        return await world.query.serve(world.request("search"))
+        return await harness.query.serve(harness.request("search"))
 
     assert run_virtual(scenario()).snapshot_id == 2
 
 
 def test_claim_of_a_mutation_that_was_not_sent_is_released():
-    """A key that stays claimed could not be used for the caller's next try."""
+    """Guards against a key that stays claimed and that the caller cannot use again."""
 
     async def scenario():
-        world = World(seed=1)
+        harness = QueryHarness(seed=1)
         released = []
-        world.query._ledger.abandon = released.append
-        router = world.directory.router("g")
-        for _, replica in world.directory.replicas():
-            router.drain(replica.name, world.clock.now_ms())
-        outcome = await world.query.serve(world.request("mutation"))
+        harness.query._ledger.abandon = released.append
+        router = harness.directory.router("g")
+        for _, replica in harness.directory.replicas():
+            router.drain(replica.name, harness.clock.now_ms())
+        outcome = await harness.query.serve(harness.request("mutation"))
         return outcome, released
 
     outcome, released = run_virtual(scenario())
@@ -42,8 +42,8 @@
     assert len(released) == 1
 
 
-# (case, shards without replicas, whether each kind is refused without a call)
-LACKING = [
+# (case, shards without replicas, kind, whether it is refused without a call)
+MISSING_REPLICA_CASES = [
     ("search above its floor", {"s2"}, "search", False),
     ("search below its floor", {"s0", "s2"}, "search", True),
     ("lookup of another shard", {"s0", "s2"}, "lookup", False),
@@ -52,30 +52,30 @@
 
 
 @pytest.mark.parametrize(
-    ("lacking", "kind", "is_refused"),
-    [case[1:] for case in LACKING],
-    ids=[case[0] for case in LACKING],
+    ("empty_shard_ids", "kind", "is_refused"),
+    [case[1:] for case in MISSING_REPLICA_CASES],
+    ids=[case[0] for case in MISSING_REPLICA_CASES],
 )
 def test_request_without_replicas_is_refused_before_admission(
-    lacking, kind, is_refused
+    empty_shard_ids, kind, is_refused
 ):
-    """Without slots it would wait in the queue until its deadline."""
+    """Guards against a request that waits in the queue of a group without slots."""
 
     async def scenario():
-        world = World(seed=1)
-        whole = make_map()
+        harness = QueryHarness(seed=1)
+        complete_map = make_map()
         shards = tuple(
             type(shard)(
                 shard.shard_id,
                 shard.key_range,
                 shard.n_documents,
-                () if shard.shard_id in lacking else shard.replicas,
+                () if shard.shard_id in empty_shard_ids else shard.replicas,
             )
-            for shard in whole.shards
+            for shard in complete_map.shards
         )
         partition_map = PartitionMap("g", 1, shards)
-        world.directory.pin = lambda group, excluded=(): partition_map
-        return await world.query.serve(world.request(kind))
+        harness.directory.pin = lambda group, excluded=(): partition_map
+        return await harness.query.serve(harness.request(kind))
 
     outcome = run_virtual(scenario())
     is_found = isinstance(outcome, Refusal) and outcome.failure.kind is NO_REPLICA
