--- a/chestnuthall/core/admission/__init__.py
+++ b/chestnuthall/core/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Who is admitted when: fair queueing over classes of callers."""
+"""Admission control: fair queueing over classes of callers."""
 
 from chestnuthall.core.admission._events import (
     AdmissionAction,
--- a/chestnuthall/core/admission/_events.py
+++ b/chestnuthall/core/admission/_events.py
@@ -1,4 +1,4 @@
-"""Events that an admission queue takes and actions that it returns."""
+"""Events that an admission queue handles and actions that it returns."""
 
 from dataclasses import dataclass
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrive(AdmissionEvent):
-    """A query asks for admission; ``cost`` is its number of shard calls."""
+    """A query requests admission; ``cost`` is its number of shard calls."""
 
     ticket: str
     class_name: str
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Withdraw(AdmissionEvent):
-    """A queued query is no longer wanted by its caller."""
+    """The caller cancelled a queued query."""
 
     ticket: str
 
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DemandReported(AdmissionEvent):
-    """Callers ask the fleet for ``cost_per_ms`` shard calls of a class."""
+    """The demand for a class over the whole fleet, in shard calls per ms."""
 
     class_name: str
     cost_per_ms: float
@@ -73,23 +73,24 @@
 class LimitChanged(AdmissionEvent):
     """The number of shard calls that may run at once has changed.
 
-    ``part_ratio`` is this instance's part of the demand of the fleet, and
-    ``class_part_ratios`` its part of the demand of single classes.
+    ``quota_ratio`` is this instance's quota as a fraction of the fleet's
+    limit, which follows its fraction of the fleet's demand.
+    ``class_demand_ratios`` are its fractions of the demand of single classes.
     """
 
     limit_cost: float
-    part_ratio: float = 1.0
-    class_part_ratios: tuple[tuple[str, float], ...] = ()
+    quota_ratio: float = 1.0
+    class_demand_ratios: tuple[tuple[str, float], ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Woken(AdmissionEvent):
-    """The time that ``AdmissionQueue.wake_at_ms`` named has come."""
+    """The time that ``AdmissionQueue.wake_at_ms`` returned has been reached."""
 
 
 @dataclass(frozen=True, slots=True)
 class Reconfigured(AdmissionEvent):
-    """Another configuration is in force; queued and running work stays."""
+    """A new configuration is in force; queued and running queries are kept."""
 
     classes: tuple[CallerClass, ...]
     reserved_ratios: tuple[tuple[str, float], ...]
@@ -111,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse(AdmissionAction):
-    """The query is not run."""
+    """The query is refused and will not run."""
 
     failure: Failure
     account: AdmissionAccount
--- a/chestnuthall/core/admission/_fleet.py
+++ b/chestnuthall/core/admission/_fleet.py
@@ -1,13 +1,13 @@
-"""Use of a group over the fleet, from news that may be late or repeated."""
+"""Fleet-wide use of a group, from reports that may be late or duplicated."""
 
 from collections import deque
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-# Part of the average demand of two instances that each is taken to have besides
-# its own, so that an instance without callers lately keeps room for a first query.
+# Fraction of the mean demand of two instances that is added to the demand of
+# each, so that an instance without recent callers keeps capacity for a first query.
 BASE_DEMAND_RATIO = 0.1
-# Samples of the own demand that are kept, at four a second.
+# Retained samples of this instance's demand, taken four times a second.
 N_HISTORY_MAX = 24
 
 
@@ -28,113 +28,117 @@
     demand_cost: float
 
     @property
-    def made_wall_ms(self) -> float:
-        """Wall time at which the news was made."""
+    def created_wall_ms(self) -> float:
+        """Wall time at which the report was created."""
         return float(self.incarnation + self.sequence)
 
 
 @dataclass(frozen=True, slots=True)
-class _Known:
-    news: UseNews
-    heard_ms: float
+class _ReceivedReport:
+    report: UseNews
+    received_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceDemand:
-    """Demand at one instance when its news was made."""
+    """Demand at one instance when its report was created."""
 
     cost: float
-    made_wall_ms: float
+    created_wall_ms: float
 
 
 class UseLedger:
-    """The newest use of every other instance, per group and class.
+    """The latest use report of every other instance, per group and class.
 
     Examples
     --------
     >>> ledger = UseLedger()
-    >>> news = UseNews("a", 1, 1, "desk", "clerk", 40.0, 10.0)
-    >>> ledger.take(news, 0.0)
+    >>> report = UseNews("a", 1, 1, "desk", "clerk", 40.0, 10.0)
+    >>> ledger.take(report, 0.0)
     0.0
     >>> later = UseNews("a", 1, 2, "desk", "clerk", 70.0, 10.0)
-    >>> ledger.take(later, 0.0), ledger.take(later, 0.0), ledger.take(news, 0.0)
+    >>> ledger.take(later, 0.0), ledger.take(later, 0.0), ledger.take(report, 0.0)
     (30.0, 0.0, 0.0)
     """
 
     def __init__(self) -> None:
-        self._known: dict[tuple[str, str, str], _Known] = {}
+        self._latest: dict[tuple[str, str, str], _ReceivedReport] = {}
 
-    def take(self, news: UseNews, now_ms: float) -> float:
-        """Return the service that the news adds to what was counted before.
+    def take(self, report: UseNews, now_ms: float) -> float:
+        """Record a report and return the service that was not counted before.
 
-        The first news of an instance sets only the starting point, since its
-        service may lie long before the life of this instance. An incarnation
-        that follows a known one counts from its start.
+        The first report of an instance only sets the starting point, since its
+        service may date from long before this instance started. A later
+        incarnation of a known instance counts from its own start.
         """
-        key = (news.instance, news.group, news.class_name)
-        known = self._known.get(key)
-        if known is not None and _order(news) <= _order(known.news):
+        key = (report.instance, report.group, report.class_name)
+        previous = self._latest.get(key)
+        if previous is not None and _order(report) <= _order(previous.report):
             return 0.0
-        self._known[key] = _Known(news, now_ms)
-        if known is None:
+        self._latest[key] = _ReceivedReport(report, now_ms)
+        if previous is None:
             return 0.0
-        if news.incarnation > known.news.incarnation:
-            return news.served_cost
-        return max(0.0, news.served_cost - known.news.served_cost)
-
-    def forget(self, live_names: frozenset[str], heard_before_ms: float) -> None:
-        """Drop instances that left, and those that were silent for long."""
-        self._known = {
-            key: known
-            for key, known in self._known.items()
-            if key[0] in live_names and known.heard_ms >= heard_before_ms
+        if report.incarnation > previous.report.incarnation:
+            return report.served_cost
+        return max(0.0, report.served_cost - previous.report.served_cost)
+
+    def forget(self, live_names: frozenset[str], received_before_ms: float) -> None:
+        """Drop instances that left or have not reported since a time."""
+        self._latest = {
+            key: received
+            for key, received in self._latest.items()
+            if key[0] in live_names and received.received_ms >= received_before_ms
         }
 
     def newest(self) -> list[UseNews]:
-        """Return what is known, the latest heard first."""
-        ordered = sorted(self._known.values(), key=lambda known: -known.heard_ms)
-        return [known.news for known in ordered]
+        """Return the stored reports, the most recently received first."""
+        ordered = sorted(self._latest.values(), key=lambda item: -item.received_ms)
+        return [item.report for item in ordered]
 
     def demand_by_instance(
-        self, group: str, heard_since_ms: float, class_name: str | None = None
+        self, group: str, received_since_ms: float, class_name: str | None = None
     ) -> dict[str, InstanceDemand]:
-        """Return the demand of a class, or of all, at each instance heard lately."""
+        """Return the demand at each instance that has reported since a time.
+
+        Without a class name it is the sum over all classes.
+        """
         demand: dict[str, InstanceDemand] = {}
-        for known in self._known.values():
-            news = known.news
-            if news.group != group or known.heard_ms < heard_since_ms:
+        for received in self._latest.values():
+            report = received.report
+            if report.group != group or received.received_ms < received_since_ms:
                 continue
-            if class_name not in (None, news.class_name):
+            if class_name not in (None, report.class_name):
                 continue
-            before = demand.get(news.instance, InstanceDemand(0.0, 0.0))
-            demand[news.instance] = InstanceDemand(
-                before.cost + news.demand_cost,
-                max(before.made_wall_ms, news.made_wall_ms),
+            subtotal = demand.get(report.instance, InstanceDemand(0.0, 0.0))
+            demand[report.instance] = InstanceDemand(
+                subtotal.cost + report.demand_cost,
+                max(subtotal.created_wall_ms, report.created_wall_ms),
             )
         return demand
 
 
-def _order(news: UseNews) -> tuple[int, int]:
-    return news.incarnation, news.sequence
+def _order(report: UseNews) -> tuple[int, int]:
+    return report.incarnation, report.sequence
 
 
 class DemandHistory:
     """This instance's own demand over the last seconds.
 
-    News of others is a second or two old. While the load of the whole fleet
-    rises, the own demand of now against theirs of then would give every
-    instance too large a part, so the own demand of the same time is compared.
+    Reports of other instances are one to two seconds old. While the load of the
+    whole fleet rises, comparing the current own demand with their earlier demand
+    would give every instance too large a fraction. The own demand at the time of
+    the report is compared instead.
     """
 
     def __init__(self) -> None:
         self._samples: deque[tuple[float, float]] = deque(maxlen=N_HISTORY_MAX)
 
     def add(self, wall_ms: float, cost: float) -> None:
-        """Note the demand now."""
+        """Record the demand at a wall time."""
         self._samples.append((wall_ms, cost))
 
     def cost_at(self, wall_ms: float) -> float:
-        """Return the demand at the sample nearest to a time; 0 without any."""
+        """Return the demand of the sample nearest to a time; 0 without samples."""
         if not self._samples:
             return 0.0
         nearest = min(self._samples, key=lambda sample: abs(sample[0] - wall_ms))
@@ -144,9 +148,9 @@
 def part_of_demand(
     history: DemandHistory, others: Iterable[InstanceDemand], n_instances: int
 ) -> float:
-    """Return this instance's part of the demand of the fleet.
+    """Return this instance's fraction of the demand of the fleet.
 
-    Instances without news are taken to have the same demand as this one.
+    Instances without a report are assumed to have the same demand as this one.
 
     Examples
     --------
@@ -158,13 +162,14 @@
     0.727
     """
     relative = [
-        _relative(item.cost, history.cost_at(item.made_wall_ms)) for item in others
+        _relative_demand(item.cost, history.cost_at(item.created_wall_ms))
+        for item in others
     ]
-    n_silent = max(0, n_instances - 1 - len(relative))
-    return 1.0 / (1.0 + n_silent + sum(relative))
+    n_unreported = max(0, n_instances - 1 - len(relative))
+    return 1.0 / (1.0 + n_unreported + sum(relative))
 
 
-def _relative(other_cost: float, own_cost: float) -> float:
+def _relative_demand(other_cost: float, own_cost: float) -> float:
     base_cost = BASE_DEMAND_RATIO * (other_cost + own_cost) / 2.0
     if base_cost <= 0.0:
         return 1.0
--- a/chestnuthall/core/admission/_queue.py
+++ b/chestnuthall/core/admission/_queue.py
@@ -23,8 +23,8 @@
     Withdraw,
     Woken,
 )
-from chestnuthall.core.admission._pace import Pace
 from chestnuthall.core.admission._room import Room
+from chestnuthall.core.admission._service_times import ServiceTimes
 from chestnuthall.core.admission._tickets import (
     AdmittedCounts,
     ClassQueue,
@@ -45,19 +45,19 @@
     Failure,
 )
 
-# Part of its share up to which a class counts as asking for less. The distance
+# Fraction of its share up to which the demand of a class counts as low. The margin
 # covers the error of the measured demand and service rate.
-MODEST_RATIO = 0.95
+LOW_DEMAND_RATIO = 0.95
 
 
 class AdmissionQueue:
-    """Admits queries whole, within a limit on shard calls that run at once.
+    """Admits complete queries within a limit on concurrent shard calls.
 
-    Start-time fair queueing decides between classes, on the service that each
-    received over the fleet divided by its share. Among the classes within
-    their share the more urgent one goes first. The query chosen is not
-    overtaken by smaller ones while it waits for room, so a large query is not
-    starved; only the reserved part of another kind is open meanwhile.
+    Start-time fair queueing decides between classes, by the service that each
+    received over the fleet divided by its share. Among the classes within their
+    share the most urgent one goes first. Smaller queries don't overtake the chosen
+    one while it waits for capacity, so that a large query is not starved; meanwhile
+    only queries of kinds with reserved capacity are admitted.
     """
 
     def __init__(
@@ -67,9 +67,9 @@
         reserved_ratios: tuple[tuple[str, float], ...] = (),
     ) -> None:
         self.room = Room(limit_cost, dict(reserved_ratios))
-        self.part_ratio = 1.0
-        self.class_part_ratios: dict[str, float] = {}
-        self.pace = Pace()
+        self.quota_ratio = 1.0
+        self.class_demand_ratios: dict[str, float] = {}
+        self.service_times = ServiceTimes()
         self.queues = {item.name: ClassQueue(item) for item in classes}
         self.waiting: dict[str, Ticket] = {}
         self.running: dict[str, Ticket] = {}
@@ -80,26 +80,26 @@
 
     @property
     def utilisation_ratio(self) -> float:
-        """Average running cost lately as a part of the limit."""
+        """Average recent running cost as a fraction of the limit."""
         return self.room.utilisation_ratio
 
     def wake_at_ms(self) -> float | None:
-        """Return when ``Woken`` is due, or None while nothing depends on time."""
+        """Return when ``Woken`` is due, or None if no query is waiting."""
         if not self.waiting:
             return None
-        head = choose_class(self._busy(), self.slack)[0].head()
+        head = choose_class(self._backlogged(), self.slack)[0].head()
         return None if head is None else self.room.wake_at_ms(head.cost)
 
     def handle(self, event: AdmissionEvent) -> list[AdmissionAction]:
-        """Apply one event and return the queries that are admitted or refused."""
+        """Apply one event and return the resulting admissions and refusals."""
         elapsed_ms = self.room.advance(event.now_ms)
         if elapsed_ms > 0.0:
             for queue in self.queues.values():
-                queue.age(elapsed_ms)
+                queue.decay_predicted(elapsed_ms)
         return _apply(event, self)
 
     def make_ticket(self, event: Arrive) -> Ticket:
-        """Return the ticket of a query that has just arrived."""
+        """Return a ticket for a query that has just arrived."""
         return Ticket(
             name=event.ticket,
             class_name=event.class_name,
@@ -123,16 +123,16 @@
     def _catch_up(self, queue: ClassQueue) -> None:
         """Raise the service of an idle class to near that of the least served one.
 
-        Without this a class could save up service while idle and then take
-        the whole limit for as long as its credit lasts. It keeps the slack, so
-        that a burst of a class that uses less than its share stays within it.
+        Without this a class could accumulate credit while idle and then occupy the
+        whole limit until the credit is spent. The class keeps the slack, so that a
+        burst of a class that uses less than its share stays within the share.
         """
-        busy = [item.normalised_service for item in self._busy()]
-        self._virtual_time = max(self._virtual_time, min(busy, default=0.0))
-        start = min(busy, default=self._virtual_time)
+        backlogged = [item.normalised_service for item in self._backlogged()]
+        self._virtual_time = max(self._virtual_time, min(backlogged, default=0.0))
+        start = min(backlogged, default=self._virtual_time)
         queue.normalised_service = max(queue.normalised_service, start - self.slack)
 
-    def _busy(self, kind: str | None = None) -> list[ClassQueue]:
+    def _backlogged(self, kind: str | None = None) -> list[ClassQueue]:
         return [
             queue
             for queue in self.queues.values()
@@ -140,7 +140,7 @@
         ]
 
     def admit_next(self, now_ms: float) -> list[AdmissionAction]:
-        """Admit queries for as long as there is room."""
+        """Admit queries while there is capacity."""
         actions: list[AdmissionAction] = []
         while self.waiting:
             action = self._admit_by_share(now_ms) or self._admit_reserved(now_ms)
@@ -150,7 +150,7 @@
         return actions
 
     def _admit_by_share(self, now_ms: float) -> AdmissionAction | None:
-        queue, rule = choose_class(self._busy(), self.slack)
+        queue, rule = choose_class(self._backlogged(), self.slack)
         ticket = queue.head()
         if ticket is None:
             return None
@@ -167,12 +167,12 @@
 
     def _admit_reserved(self, now_ms: float) -> AdmissionAction | None:
         for kind in self.room.reserved_ratios:
-            busy = self._busy(kind)
-            if not busy:
+            backlogged = self._backlogged(kind)
+            if not backlogged:
                 continue
-            queue, _ = choose_class(busy, self.slack, kind)
+            queue, _ = choose_class(backlogged, self.slack, kind)
             ticket = queue.head(kind)
-            if ticket is None or not self.room.has_reserved_room(kind, ticket.cost):
+            if ticket is None or not self.room.has_reserved_capacity(kind, ticket.cost):
                 continue
             return self._take_out(queue, ticket, AdmissionRule.RESERVED_ROOM, now_ms)
         return None
@@ -186,41 +186,47 @@
                 rule = AdmissionRule.IMMEDIATE
         elif self._is_too_late(ticket, now_ms):
             self.drop(ticket)
-            failure = DEADLINE_UNREACHABLE.because("the time left is too short to run")
+            failure = DEADLINE_UNREACHABLE.because(
+                "the remaining time is too short to run"
+            )
             return self.refuse(ticket, failure, now_ms)
         account = self._account(ticket, rule, standings, now_ms)
         self._start(queue, ticket, rule, now_ms)
         return Admit(ticket.name, account)
 
     def _is_immediate(self, ticket: Ticket, now_ms: float) -> bool:
-        """Return whether a query neither waited nor competed with another one."""
+        """Return whether a query neither waited nor competed with another query."""
         is_alone = len(self.waiting) == 1 and ticket.n_ahead_at_arrival == 0
-        return is_alone and ticket.arrived_ms == now_ms and not self._ahead(ticket)
+        return (
+            is_alone
+            and ticket.arrived_ms == now_ms
+            and not self._admitted_since_arrival(ticket)
+        )
 
     def _is_too_late(self, ticket: Ticket, now_ms: float) -> bool:
-        """Return whether a query that waited would only run in vain."""
-        return now_ms + self.pace.needed_ms(ticket.kind) >= ticket.deadline_ms
+        """Return whether a query is not expected to end before its deadline."""
+        return now_ms + self.service_times.needed_ms(ticket.kind) >= ticket.deadline_ms
 
     def _start(
         self, queue: ClassQueue, ticket: Ticket, rule: AdmissionRule, now_ms: float
     ) -> None:
         self.drop(ticket)
-        queue.note_admission(ticket.cost, now_ms)
+        queue.observe_admission(ticket.cost, now_ms)
         self.running[ticket.name] = ticket
-        self.room.take(ticket.kind, ticket.cost)
+        self.room.acquire(ticket.kind, ticket.cost)
         name = ticket.class_name
-        part_ratio = self.class_part_ratios.get(name, self.part_ratio)
-        queue.charge(ticket.cost, part_ratio)
+        demand_ratio = self.class_demand_ratios.get(name, self.quota_ratio)
+        queue.charge(ticket.cost, demand_ratio)
         self.served_cost[name] = self.served_cost.get(name, 0.0) + ticket.cost
         self.admitted[name, rule] = self.admitted.get((name, rule), 0) + 1
 
     @property
     def slack(self) -> float:
-        """Normalised service by which a class may be ahead within its share."""
-        return slack_of(self.queues.values(), self.room.limit_cost / self.part_ratio)
+        """Lead in normalised service up to which a class is within its share."""
+        return slack_of(self.queues.values(), self.room.limit_cost / self.quota_ratio)
 
     def standings(self) -> tuple[ClassStanding, ...]:
-        """Return the standing of every class now."""
+        """Return the current standing of every class."""
         return standings_of(self.queues.values(), self.slack)
 
     def drop(self, ticket: Ticket) -> None:
@@ -231,30 +237,31 @@
         if queue.is_retired and not queue.n_waiting:
             del self.queues[ticket.class_name]
 
-    def give_back(self, ticket: Ticket, cost: float) -> None:
-        """Return room of a running query, at most what it still holds."""
-        returned = min(cost, ticket.cost)
-        ticket.cost -= returned
-        self.room.give_back(ticket.kind, returned)
+    def release(self, ticket: Ticket, cost: float) -> None:
+        """Release capacity of a running query, at most what it still occupies."""
+        released = min(cost, ticket.cost)
+        ticket.cost -= released
+        self.room.release(ticket.kind, released)
 
     def expected_wait_ms(self, ticket: Ticket) -> float:
-        """Return how long a new query would wait behind those ahead of it."""
+        """Return how long a new query is expected to wait."""
         queue = self.queues[ticket.class_name]
         ahead_cost = queue.cost_due_before(ticket.deadline_ms)
-        if queue.cost_gap_ms is not None:
-            return ahead_cost * queue.cost_gap_ms
+        if queue.call_gap_ms is not None:
+            return ahead_cost * queue.call_gap_ms
         shares = {
-            item.caller_class.name: item.caller_class.share for item in self._busy()
+            item.caller_class.name: item.caller_class.share
+            for item in self._backlogged()
         }
         shares[ticket.class_name] = queue.caller_class.share
-        return self.pace.wait_ms(
+        return self.service_times.wait_ms(
             ahead_cost=ahead_cost,
             limit_cost=self.room.limit_cost,
-            part_ratio=queue.caller_class.share / sum(shares.values()),
+            share_ratio=queue.caller_class.share / sum(shares.values()),
         )
 
     def refuse(self, ticket: Ticket, failure: Failure, now_ms: float) -> Refuse:
-        """Return the refusal of a query with its account."""
+        """Return the refusal of a query, with its account."""
         rule = AdmissionRule.NOT_ADMITTED
         account = self._account(ticket, rule, self.standings(), now_ms)
         return Refuse(ticket.name, failure, account)
@@ -271,18 +278,18 @@
             queued_ms=now_ms - ticket.arrived_ms,
             n_ahead_at_arrival=ticket.n_ahead_at_arrival,
             standings=standings,
-            ahead=self._ahead(ticket),
+            ahead=self._admitted_since_arrival(ticket),
         )
 
-    def _ahead(self, ticket: Ticket) -> tuple[QueriesAhead, ...]:
-        """Return what was admitted since a query arrived."""
-        before = ticket.admitted_at_arrival
+    def _admitted_since_arrival(self, ticket: Ticket) -> tuple[QueriesAhead, ...]:
+        """Return the admissions since a query arrived, by class and rule."""
+        at_arrival = ticket.admitted_at_arrival
         return tuple(
-            QueriesAhead(name, n_admitted - before.get((name, rule), 0), rule)
+            QueriesAhead(name, n_admitted - at_arrival.get((name, rule), 0), rule)
             for (name, rule), n_admitted in sorted(
                 self.admitted.items(), key=lambda item: (item[0][0], item[0][1].value)
             )
-            if n_admitted > before.get((name, rule), 0)
+            if n_admitted > at_arrival.get((name, rule), 0)
         )
 
 
@@ -296,18 +303,18 @@
     wait_ms = queue.expected_wait_ms(ticket)
     if wait_ms <= 0.0:
         return None
-    needed_ms = wait_ms + queue.pace.needed_ms(ticket.kind)
+    needed_ms = wait_ms + queue.service_times.needed_ms(ticket.kind)
     remaining_ms = ticket.deadline_ms - ticket.arrived_ms
     if needed_ms <= remaining_ms:
         return None
     return DEADLINE_UNREACHABLE.because(
-        f"expected in {needed_ms:.0f} ms, with {remaining_ms:.0f} ms left"
+        f"expected to take {needed_ms:.0f} ms with {remaining_ms:.0f} ms remaining"
     )
 
 
 @singledispatch
 def _apply(event: AdmissionEvent, queue: AdmissionQueue) -> list[AdmissionAction]:
-    """Apply one event; registered per type of event."""
+    """Apply one event to the queue."""
     raise TypeError(f"not an event: {type(event).__name__}")
 
 
@@ -326,9 +333,9 @@
     ticket = queue.running.pop(event.ticket, None)
     if ticket is None:
         return []
-    queue.give_back(ticket, ticket.cost)
+    queue.release(ticket, ticket.cost)
     if event.service_ms > 0.0:
-        queue.pace.observe_query(ticket.kind, event.service_ms)
+        queue.service_times.observe_query(ticket.kind, event.service_ms)
     return queue.admit_next(event.now_ms)
 
 
@@ -337,8 +344,8 @@
     ticket = queue.running.get(event.ticket)
     if ticket is None:
         return []
-    queue.give_back(ticket, event.cost)
-    queue.pace.observe_call(event.service_ms)
+    queue.release(ticket, event.cost)
+    queue.service_times.observe_call(event.service_ms)
     return queue.admit_next(event.now_ms)
 
 
@@ -357,7 +364,7 @@
     actions: list[AdmissionAction] = []
     for ticket in due:
         queue.drop(ticket)
-        failure = DEADLINE_PASSED.because("the deadline passed in the queue")
+        failure = DEADLINE_PASSED.because("the deadline passed while queued")
         actions.append(queue.refuse(ticket, failure, event.now_ms))
     return actions + queue.admit_next(event.now_ms)
 
@@ -371,26 +378,30 @@
 def _(event: FleetUseReported, queue: AdmissionQueue) -> list[AdmissionAction]:
     class_queue = queue.queues.get(event.class_name)
     if class_queue is not None:
-        class_queue.settle(event.cost)
+        class_queue.reconcile(event.cost)
     return []
 
 
 @_apply.register
 def _(event: DemandReported, queue: AdmissionQueue) -> list[AdmissionAction]:
     class_queue = queue.queues.get(event.class_name)
-    if class_queue is not None and queue.pace.call_ms is not None:
+    if class_queue is not None and queue.service_times.call_ms is not None:
         shares = sum(item.caller_class.share for item in queue.queues.values())
-        fleet_per_ms = queue.room.limit_cost / queue.part_ratio / queue.pace.call_ms
-        owed_per_ms = fleet_per_ms * class_queue.caller_class.share / shares
-        class_queue.is_modest = event.cost_per_ms <= MODEST_RATIO * owed_per_ms
+        fleet_per_ms = (
+            queue.room.limit_cost / queue.quota_ratio / queue.service_times.call_ms
+        )
+        entitled_per_ms = fleet_per_ms * class_queue.caller_class.share / shares
+        class_queue.has_low_demand = (
+            event.cost_per_ms <= LOW_DEMAND_RATIO * entitled_per_ms
+        )
     return []
 
 
 @_apply.register
 def _(event: LimitChanged, queue: AdmissionQueue) -> list[AdmissionAction]:
     queue.room.limit_cost = event.limit_cost
-    queue.part_ratio = event.part_ratio
-    queue.class_part_ratios = dict(event.class_part_ratios)
+    queue.quota_ratio = event.quota_ratio
+    queue.class_demand_ratios = dict(event.class_demand_ratios)
     return queue.admit_next(event.now_ms)
 
 
--- a/chestnuthall/core/admission/_room.py
+++ b/chestnuthall/core/admission/_room.py
@@ -1,34 +1,35 @@
-"""Room for running queries: a limit that holds on average, and reserved parts."""
+"""Capacity for running queries: a limit on the average, and reserved capacity."""
 
 from dataclasses import dataclass, field
 from math import exp
 
-# Unused room that may be saved up, as time at the full limit. It lets a burst
-# of a few queries through at low load and is used up within about a tenth of a
-# second when the load steps up.
+# Bounds of the accumulated credit for unused and overdrawn capacity, as time at
+# the full limit. The upper bound admits a burst of a few queries at low load; after
+# a step in load the credit is used up within about 100 ms.
 CREDIT_MAX_MS = 100.0
 DEBT_MAX_MS = 200.0
-# Room that the most urgent class may overdraw within its share, as time at the
-# full limit, and the running cost that it may reach as a multiple of it. Less
-# urgent classes repay it, so that the urgent one does not wait for an end.
+# Capacity that the most urgent class may overdraw within its share, as time at the
+# full limit, and the running cost that it may reach, as a multiple of the limit.
+# The debt delays the less urgent classes, so that the most urgent one does not have
+# to wait until a running query ends.
 URGENT_DEBT_MAX_MS = 50.0
 URGENT_RUNNING_FACTOR = 2.0
-# Time over which saved room is spent and overdrawn room is repaid, about the
-# time of one query. A shorter one makes the running cost swing between nothing
-# and several times the limit.
-SPEND_MS = 25.0
-# Time over which the use of the limit is averaged. The momentary use of an
-# instance with room for one search is either nothing or everything.
+# Time over which accumulated credit is spent and debt is repaid, about the duration
+# of one query. With a shorter time the running cost oscillates between zero and
+# several times the limit.
+CREDIT_SPEND_MS = 25.0
+# Time constant of the average utilisation. The momentary utilisation of an instance
+# with capacity for a single search is either zero or one.
 USE_WINDOW_MS = 250.0
 
 
 @dataclass(slots=True)
 class Room:
-    """Room for shard calls that run at once; costs are in shard calls.
+    """Capacity for concurrent shard calls; costs are in shard calls.
 
-    The running cost may pass the limit for a moment as long as its average
-    does not. A limit that is no multiple of the cost of a query, or smaller
-    than one query, is thereby used in full without being rounded up.
+    The running cost may exceed the limit for a moment as long as its average does
+    not. A limit that is smaller than the cost of a query, or not a multiple of it,
+    is thereby used in full without being rounded up.
     """
 
     limit_cost: float
@@ -41,7 +42,7 @@
     mean_running_cost: float = 0.0
 
     def advance(self, now_ms: float) -> float:
-        """Account for the room used since the last event; return the time since."""
+        """Update credit and averages; return the time since the last update."""
         elapsed_ms = max(0.0, now_ms - self.updated_ms)
         self.updated_ms = now_ms
         weight = 1.0 - exp(-elapsed_ms / USE_WINDOW_MS)
@@ -50,23 +51,23 @@
             self.limit_cost - self.running_cost
         )
         most = CREDIT_MAX_MS * self.limit_cost
-        least = -max(DEBT_MAX_MS * self.limit_cost, SPEND_MS * self.largest_cost)
+        least = -max(DEBT_MAX_MS * self.limit_cost, CREDIT_SPEND_MS * self.largest_cost)
         self.credit_cost_ms = min(most, max(least, credit))
         return elapsed_ms
 
     @property
     def utilisation_ratio(self) -> float:
-        """Average use of the limit lately."""
+        """Average recent running cost as a fraction of the limit."""
         return self.mean_running_cost / self.limit_cost if self.limit_cost else 1.0
 
     def has_room(self, cost: float) -> bool:
         """Return whether a query may start now.
 
         Half of its cost has to fit, so that the running cost is centred on the
-        limit. A query larger than the whole limit starts when nothing else
-        runs, and its excess is then repaid as idle time.
+        limit. A query larger than the whole limit starts when nothing else runs,
+        and its excess is then repaid as idle time.
         """
-        return self._missing_cost_ms(cost) <= 0.0
+        return self._credit_shortfall_ms(cost) <= 0.0
 
     def has_urgent_room(self, cost: float) -> bool:
         """Return whether the most urgent class may start a query on credit."""
@@ -74,37 +75,37 @@
         running_max = URGENT_RUNNING_FACTOR * self.limit_cost
         return not is_in_debt and self.running_cost + cost <= running_max
 
-    def _missing_cost_ms(self, cost: float) -> float:
-        """Return the credit that a query lacks for its start."""
+    def _credit_shortfall_ms(self, cost: float) -> float:
+        """Return the credit that is missing for a query to start."""
         if self.running_cost <= 0.0:
             return -self.credit_cost_ms
         excess_cost = self.running_cost + cost / 2.0 - self.limit_cost
-        return excess_cost * SPEND_MS - self.credit_cost_ms
+        return excess_cost * CREDIT_SPEND_MS - self.credit_cost_ms
 
-    def has_reserved_room(self, kind: str, cost: float) -> bool:
-        """Return whether a query fits into the part reserved for its kind.
+    def has_reserved_capacity(self, kind: str, cost: float) -> bool:
+        """Return whether a query fits into the capacity reserved for its kind.
 
-        Other kinds may have borrowed the part while it was idle; they repay
-        it by waiting until the average is within the limit again.
+        Other kinds may have borrowed that capacity while it was idle. They repay it
+        by waiting until the average running cost is within the limit again.
         """
         reserved_cost = self.reserved_ratios.get(kind, 0.0) * self.limit_cost
         return self.running_cost_by_kind.get(kind, 0.0) + cost <= reserved_cost
 
-    def take(self, kind: str, cost: float) -> None:
-        """Note calls that start."""
+    def acquire(self, kind: str, cost: float) -> None:
+        """Acquire capacity for calls that start."""
         self.running_cost += cost
         self.largest_cost = max(self.largest_cost, cost)
         by_kind = self.running_cost_by_kind
         by_kind[kind] = by_kind.get(kind, 0.0) + cost
 
-    def give_back(self, kind: str, cost: float) -> None:
-        """Note calls that ended."""
+    def release(self, kind: str, cost: float) -> None:
+        """Release the capacity of calls that ended."""
         self.running_cost -= cost
         self.running_cost_by_kind[kind] -= cost
 
     def wake_at_ms(self, cost: float) -> float | None:
-        """Return when a query has room if nothing ends; None for never."""
+        """Return when a query could start if nothing ends before; None for never."""
         spare_cost = self.limit_cost - self.running_cost
         if spare_cost <= 0.0:
             return None
-        return self.updated_ms + max(0.0, self._missing_cost_ms(cost)) / spare_cost
+        return self.updated_ms + max(0.0, self._credit_shortfall_ms(cost)) / spare_cost
--- a/chestnuthall/core/admission/tests/test_queue.py
+++ b/chestnuthall/core/admission/tests/test_queue.py
@@ -1,4 +1,8 @@
-"""Guards the order of admission, refusals and the reason that accounts give."""
+"""Guards the order of admission, refusals and the reasons in accounts.
+
+The tests fail if a query is admitted, refused or ordered against the rules, or if its
+account states another rule than the one that decided.
+"""
 
 import pytest
 from hypothesis import given, settings
@@ -53,7 +57,7 @@
 
 
 def run(events, limit_cost=10.0, reserved=(), classes=CLASSES):
-    """Return what became of each ticket, in order."""
+    """Return the outcome of each decided ticket, in order of decision."""
     queue = AdmissionQueue(classes, limit_cost, reserved)
     outcomes = []
     for event in events:
@@ -65,65 +69,66 @@
     return outcomes
 
 
-HOLD = arrive("hold", "tiny", cost=30.0)
-HELD = "hold immediate"
-# Two classes that are far enough apart that only one is within its share.
-APART = FleetUseReported(0.0, "first", 1e6)
+# A query that exceeds the limit, so that no other is admitted until it ends.
+LIMIT_HOLDER = arrive("hold", "tiny", cost=30.0)
+LIMIT_HOLDER_ADMITTED = "hold immediate"
+# Puts the class "first" so far ahead that only "second" is within its share.
+FIRST_OVER_SHARE = FleetUseReported(0.0, "first", 1e6)
 
 ORDERS = {
-    "a_free_limit_admits_at_once": ([HOLD], [HELD]),
-    "earliest_deadline_first_in_a_class": (
+    "free_capacity_admits_immediately": ([LIMIT_HOLDER], [LIMIT_HOLDER_ADMITTED]),
+    "earliest_deadline_goes_first_within_a_class": (
         [
-            HOLD,
+            LIMIT_HOLDER,
             arrive("late", "first", deadline_ms=9000.0),
             arrive("early", "first", deadline_ms=8000.0),
             end("hold"),
             end("early"),
         ],
-        [HELD, "early only_candidate", "late only_candidate"],
+        [LIMIT_HOLDER_ADMITTED, "early only_candidate", "late only_candidate"],
     ),
-    "the_more_urgent_class_goes_first_within_its_share": (
+    "more_urgent_class_goes_first_within_its_share": (
         [
-            HOLD,
+            LIMIT_HOLDER,
             arrive("f", "first", deadline_ms=8000.0),
             arrive("u", "urgent", deadline_ms=9000.0),
             end("hold"),
             end("u"),
         ],
-        [HELD, "u urgency_within_share", "f only_candidate"],
+        [LIMIT_HOLDER_ADMITTED, "u urgency_within_share", "f only_candidate"],
     ),
     "deadline_decides_between_classes_of_equal_urgency": (
         [
-            HOLD,
+            LIMIT_HOLDER,
             arrive("f", "first", deadline_ms=9000.0),
             arrive("s", "second", deadline_ms=8000.0),
             end("hold"),
         ],
-        [HELD, "s deadline_within_share"],
+        [LIMIT_HOLDER_ADMITTED, "s deadline_within_share"],
     ),
     "service_on_other_instances_counts": (
         [
-            HOLD,
+            LIMIT_HOLDER,
             arrive("s", "second", deadline_ms=9000.0),
             arrive("f", "first", deadline_ms=8000.0),
-            APART,
+            FIRST_OVER_SHARE,
             end("hold"),
         ],
-        [HELD, "s least_normalised_service"],
+        [LIMIT_HOLDER_ADMITTED, "s least_normalised_service"],
     ),
-    "an_urgent_class_over_its_share_waits": (
+    "urgent_class_over_its_share_waits": (
         [
-            HOLD,
+            LIMIT_HOLDER,
             arrive("f", "first"),
             arrive("u", "urgent"),
             FleetUseReported(0.0, "urgent", 1e6),
             end("hold"),
         ],
-        [HELD, "f least_normalised_service"],
+        [LIMIT_HOLDER_ADMITTED, "f least_normalised_service"],
     ),
-    "an_urgent_class_that_asks_for_little_stays_within_its_share": (
+    "urgent_class_with_low_demand_stays_within_its_share": (
         [
-            HOLD,
+            LIMIT_HOLDER,
             ReleasePart(0.0, "hold", 1.0, 10.0),
             arrive("f", "first"),
             arrive("u", "urgent"),
@@ -131,9 +136,9 @@
             DemandReported(0.0, "urgent", 0.1),
             end("hold"),
         ],
-        [HELD, "u urgency_within_share"],
+        [LIMIT_HOLDER_ADMITTED, "u urgency_within_share"],
     ),
-    "a_large_query_is_not_overtaken_by_small_ones": (
+    "large_query_is_not_overtaken_by_smaller_ones": (
         [
             arrive("a", "first", cost=8.0),
             arrive("large", "second", cost=30.0, deadline_ms=8000.0),
@@ -143,27 +148,27 @@
         ],
         ["a immediate", "large deadline_within_share"],
     ),
-    "a_full_queue_refuses": (
-        [HOLD, arrive("a", "tiny"), arrive("b", "tiny")],
-        [HELD, "b QUEUE_FULL"],
+    "full_queue_refuses": (
+        [LIMIT_HOLDER, arrive("a", "tiny"), arrive("b", "tiny")],
+        [LIMIT_HOLDER_ADMITTED, "b QUEUE_FULL"],
     ),
-    "an_unknown_class_is_refused": ([arrive("a", "nobody")], ["a UNKNOWN_CLASS"]),
-    "a_passed_deadline_is_refused": (
-        [HOLD, arrive("a", "first", deadline_ms=50.0), ExpireDue(50.0)],
-        [HELD, "a DEADLINE_PASSED"],
+    "unknown_class_is_refused": ([arrive("a", "nobody")], ["a UNKNOWN_CLASS"]),
+    "query_past_its_deadline_is_refused": (
+        [LIMIT_HOLDER, arrive("a", "first", deadline_ms=50.0), ExpireDue(50.0)],
+        [LIMIT_HOLDER_ADMITTED, "a DEADLINE_PASSED"],
     ),
-    "a_deadline_that_the_queue_ahead_exceeds_is_refused_at_arrival": (
+    "unreachable_deadline_is_refused_at_arrival": (
         [
-            HOLD,
+            LIMIT_HOLDER,
             ReleasePart(0.0, "hold", 1.0, 100.0),
             arrive("a", "first", cost=30.0, deadline_ms=500.0),
             arrive("b", "first", cost=30.0, deadline_ms=250.0),
             arrive("c", "first", cost=30.0, deadline_ms=550.0),
             arrive("d", "first", cost=30.0, deadline_ms=2000.0),
         ],
-        [HELD, "c DEADLINE_UNREACHABLE"],
+        [LIMIT_HOLDER_ADMITTED, "c DEADLINE_UNREACHABLE"],
     ),
-    "a_query_that_waited_too_long_to_end_in_time_is_not_run": (
+    "query_that_cannot_end_in_time_after_waiting_is_refused": (
         [
             arrive("x", "tiny"),
             end("x"),
@@ -173,7 +178,7 @@
         ],
         ["x immediate", "y immediate", "a DEADLINE_UNREACHABLE"],
     ),
-    "a_withdrawn_query_leaves_the_way_free": (
+    "withdrawn_query_unblocks_the_next_one": (
         [
             arrive("a", "first", cost=3.0),
             arrive("large", "first", cost=30.0, deadline_ms=8000.0),
@@ -182,9 +187,9 @@
         ],
         ["a immediate", "small only_candidate"],
     ),
-    "queued_work_outlives_a_revision_that_drops_its_class": (
+    "queued_queries_outlive_a_revision_without_their_class": (
         [
-            HOLD,
+            LIMIT_HOLDER,
             arrive("f", "first"),
             Reconfigured(0.0, CLASSES[:1], ()),
             arrive("g", "first"),
@@ -192,44 +197,49 @@
             end("hold"),
             end("u"),
         ],
-        [HELD, "g UNKNOWN_CLASS", "u urgency_within_share", "f only_candidate"],
+        [
+            LIMIT_HOLDER_ADMITTED,
+            "g UNKNOWN_CLASS",
+            "u urgency_within_share",
+            "f only_candidate",
+        ],
     ),
-    "running_work_counts_after_a_revision": (
-        [HOLD, Reconfigured(0.0, CLASSES, ()), arrive("f", "first")],
-        [HELD],
+    "running_queries_count_after_a_revision": (
+        [LIMIT_HOLDER, Reconfigured(0.0, CLASSES, ()), arrive("f", "first")],
+        [LIMIT_HOLDER_ADMITTED],
     ),
 }
 
 
 @pytest.mark.parametrize(("events", "expected"), ORDERS.values(), ids=ORDERS.keys())
 def test_order_of_admission(events, expected):
-    """Fails when a rule admits, refuses or orders otherwise than it says."""
+    """Fails if queries are admitted, refused or ordered against the rules."""
     assert run(events) == expected
 
 
 RESERVED = (("lookup", 0.2),)
 LOOKUP = arrive("l", "first", cost=1.0, kind="lookup")
 RESERVATIONS = {
-    "the_reserved_part_is_open_while_searches_fill_the_limit": (
-        [HOLD, arrive("s", "second"), LOOKUP],
-        [HELD, "l reserved_room"],
+    "reserved_capacity_is_available_while_searches_fill_the_limit": (
+        [LIMIT_HOLDER, arrive("s", "second"), LOOKUP],
+        [LIMIT_HOLDER_ADMITTED, "l reserved_room"],
     ),
-    "the_reserved_part_is_bounded": (
+    "reserved_capacity_is_bounded": (
         [
-            HOLD,
+            LIMIT_HOLDER,
             LOOKUP,
             arrive("m", "first", cost=1.0, kind="lookup"),
             arrive("n", "first", cost=1.0, kind="lookup"),
         ],
-        [HELD, "l reserved_room", "m reserved_room"],
+        [LIMIT_HOLDER_ADMITTED, "l reserved_room", "m reserved_room"],
     ),
-    "searches_use_the_part_while_it_is_idle": (
+    "searches_use_idle_reserved_capacity": (
         [arrive("a", "first", cost=4.0), arrive("b", "first", cost=6.0)],
         ["a immediate", "b immediate"],
     ),
-    "other_kinds_have_no_part": (
-        [HOLD, arrive("m", "first", cost=1.0, kind="mutation")],
-        [HELD],
+    "other_kinds_have_no_reserved_capacity": (
+        [LIMIT_HOLDER, arrive("m", "first", cost=1.0, kind="mutation")],
+        [LIMIT_HOLDER_ADMITTED],
     ),
 }
 
@@ -237,15 +247,15 @@
 @pytest.mark.parametrize(
     ("events", "expected"), RESERVATIONS.values(), ids=RESERVATIONS.keys()
 )
-def test_reserved_room(events, expected):
-    """Fails when one kind of request can shut another one out."""
+def test_reserved_capacity(events, expected):
+    """Fails if one kind of request can starve another one."""
     assert run(events, reserved=RESERVED) == expected
 
 
-def test_ahead_counts_only_admissions_since_the_arrival():
-    """Fails when an account blames queries that were admitted before it came."""
+def test_ahead_counts_only_admissions_since_arrival():
+    """Fails if an account lists queries that were admitted before the arrival."""
     queue = AdmissionQueue(CLASSES, 10.0)
-    events = [HOLD, arrive("a", "first"), arrive("b", "first")]
+    events = [LIMIT_HOLDER, arrive("a", "first"), arrive("b", "first")]
     events += [end("hold"), arrive("late", "first"), end("a"), Woken(900.0)]
     events += [end("b", 900.0)]
     accounts = {}
@@ -282,8 +292,8 @@
     return arrive(f"t{number}", caller_class.name, cost, deadline_ms, kind, now_ms)
 
 
-def rule_is_true(account, arrival, waiting):
-    """Check a stated rule against the standings and the queries that waited."""
+def is_rule_correct(account, arrival, waiting):
+    """Return whether the rule of an account agrees with the standings and queue."""
     standings = {item.class_name: item for item in account.standings}
     own = standings[arrival.class_name]
     others = [x for x in standings.values() if x.n_queued and x is not own]
@@ -315,23 +325,25 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(EVENTS)
-def test_the_account_states_what_decided(steps):
-    """Fails when an account gives another reason, or names another query."""
+def test_account_states_the_deciding_rule(steps):
+    """Fails if an account states a wrong rule or names another query."""
     queue = AdmissionQueue(CLASSES, 20.0, RESERVED)
-    waiting, running, log = {}, [], []
+    waiting, running, admissions = {}, [], []
     for number, step in enumerate(steps):
         now_ms = 7.0 * number
         event = make_event(step, number, now_ms, running)
         if isinstance(event, Release):
             running.remove(event.ticket)
         if isinstance(event, Arrive):
-            waiting[event.ticket] = (event, len(waiting), len(log))
+            waiting[event.ticket] = (event, len(waiting), len(admissions))
         for action in queue.handle(event):
-            arrival, n_ahead, n_logged = waiting[action.ticket]
+            arrival, n_ahead, n_admissions_at_arrival = waiting[action.ticket]
             account = action.account
             ahead = {(x.class_name, x.rule): x.n_queries for x in account.ahead}
-            seen = log[n_logged:]
-            assert ahead == {key: seen.count(key) for key in set(seen)}
+            admitted_since = admissions[n_admissions_at_arrival:]
+            assert ahead == {
+                key: admitted_since.count(key) for key in set(admitted_since)
+            }
             assert account.n_ahead_at_arrival == n_ahead
             assert account.queued_ms == now_ms - arrival.now_ms
             others = {f"t{x}" for x in range(len(steps))} - {action.ticket}
@@ -339,12 +351,12 @@
             if isinstance(action, Refuse):
                 assert account.rule is Rule.NOT_ADMITTED
             else:
-                waits = [item[0] for item in waiting.values()]
-                assert rule_is_true(account, arrival, waits)
-                log.append((arrival.class_name, account.rule))
+                arrivals = [item[0] for item in waiting.values()]
+                assert is_rule_correct(account, arrival, arrivals)
+                admissions.append((arrival.class_name, account.rule))
                 running.append(action.ticket)
             del waiting[action.ticket]
     assert set(queue.waiting) == set(waiting)
     assert set(queue.running) == set(running)
-    held = sum(ticket.cost for ticket in queue.running.values())
-    assert queue.room.running_cost == pytest.approx(held)
+    running_cost = sum(ticket.cost for ticket in queue.running.values())
+    assert queue.room.running_cost == pytest.approx(running_cost)
