--- a/chestnuthall/core/routing/__init__.py
+++ b/chestnuthall/core/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Choice of snapshot and replica, hedging and the extra-load budget."""
+"""Choice of snapshots and replicas, hedge delays, load and connection budgets."""
 
 from chestnuthall.core.routing._assignment import (
     HashRing,
--- a/chestnuthall/core/routing/_assignment.py
+++ b/chestnuthall/core/routing/_assignment.py
@@ -1,7 +1,7 @@
-"""Which instance answers for which shard, and which one checks which replica.
+"""Assignment of shards to instances, and of replicas to the instances that check them.
 
-Both depend on names only, so that all instances with the same view of the
-fleet agree without a message, and little moves when an instance leaves.
+Both depend on names only, so that all instances with the same view of the fleet
+agree without exchanging messages, and few keys move when an instance leaves.
 """
 
 from bisect import bisect_left
@@ -16,7 +16,7 @@
 
 
 def _mix(value: int) -> int:
-    """Return a well-spread number of 64 bits (the splitmix64 finaliser)."""
+    """Return a uniformly distributed 64-bit hash (the splitmix64 finaliser)."""
     value = (value ^ (value >> 30)) * 0xBF58476D1CE4E5B9 & _MASK
     value = (value ^ (value >> 27)) * 0x94D049BB133111EB & _MASK
     return value ^ (value >> 31)
@@ -32,8 +32,8 @@
 
     Examples
     --------
-    >>> both = assign_shards(["s1", "s2", "s3"], ["a", "b"])
-    >>> sorted(both["a"] + both["b"])
+    >>> assigned = assign_shards(["s1", "s2", "s3"], ["a", "b"])
+    >>> sorted(assigned["a"] + assigned["b"])
     ['s1', 's2', 's3']
     """
     hashes = {name: _hash(name) for name in sorted(instance_names)}
@@ -48,11 +48,11 @@
 
 
 class HashRing:
-    """Owners of many keys; a look-up is logarithmic in the number of names.
+    """Consistent hashing of keys to owners; a look-up is logarithmic in the names.
 
-    Rendezvous hashing would cost 24.7 million hashes to divide 13,000
-    replicas over 1,900 instances; the ring balances less well, which is
-    enough for health checks.
+    Rendezvous hashing would need 24.7 million hashes to divide 13,000 replicas
+    over 1,900 instances. The ring balances less well, but well enough for health
+    checks.
     """
 
     def __init__(self, names: Iterable[str]) -> None:
@@ -60,7 +60,7 @@
         self._hashes = [point for point, _ in self._points]
 
     def owners(self, key: str, n: int) -> tuple[str, ...]:
-        """Return up to ``n`` distinct names for a key, the first one foremost."""
+        """Return up to ``n`` distinct names for a key, in order of preference."""
         n_points = len(self._points)
         first = bisect_left(self._hashes, _hash(key))
         return tuple(
--- a/chestnuthall/core/routing/_catalog.py
+++ b/chestnuthall/core/routing/_catalog.py
@@ -1,4 +1,4 @@
-"""Partition maps known for a group, by snapshot."""
+"""Catalogue of the partition maps of a group, by snapshot."""
 
 from collections.abc import Callable, Iterable
 
@@ -12,8 +12,8 @@
 class SnapshotCatalog:
     """The newest partition maps of one group.
 
-    Older maps stay for queries that have pinned them; maps beyond the newest
-    ``N_SNAPSHOTS_KEPT`` are dropped.
+    Older maps are kept for queries that have pinned them, up to a total of
+    ``N_SNAPSHOTS_KEPT``.
     """
 
     def __init__(self, group: str) -> None:
@@ -21,10 +21,10 @@
         self._maps: dict[int, PartitionMap] = {}
 
     def add(self, partition_map: PartitionMap) -> bool:
-        """Add or replace a map; return whether its snapshot is a new one.
+        """Add or replace a map; return whether its snapshot is new.
 
-        A map of a known snapshot replaces it, since replicas come and go
-        while the snapshot stays.
+        A map of a known snapshot replaces the stored one, since the replicas of a
+        snapshot change.
         """
         is_new = partition_map.snapshot_id not in self._maps
         self._maps[partition_map.snapshot_id] = partition_map
@@ -34,7 +34,7 @@
 
     @property
     def newest_id(self) -> int | None:
-        """The newest snapshot id known, or None."""
+        """The newest known snapshot id, or None."""
         return max(self._maps, default=None)
 
     def maps(self) -> tuple[PartitionMap, ...]:
@@ -42,13 +42,13 @@
         return tuple(self._maps[key] for key in sorted(self._maps, reverse=True))
 
     def choose(
-        self, holds: HoldsSnapshot, excluded: Iterable[int] = ()
+        self, holds_snapshot: HoldsSnapshot, excluded: Iterable[int] = ()
     ) -> PartitionMap | None:
         """Return the map that a new query pins.
 
-        This is the newest snapshot for which every shard has a replica that
-        holds it, or else the one with the most documents within reach, since
-        a snapshot that is still being loaded would lose coverage.
+        This is the newest snapshot for which every shard has a replica that serves
+        it, or else the one with the most reachable documents, since a snapshot that
+        is still being loaded would lose coverage.
         """
         skipped = set(excluded)
         best: PartitionMap | None = None
@@ -56,7 +56,7 @@
         for partition_map in self.maps():
             if partition_map.snapshot_id in skipped:
                 continue
-            ratio = _reachable_ratio(partition_map, holds)
+            ratio = _reachable_ratio(partition_map, holds_snapshot)
             if ratio >= 1.0:
                 return partition_map
             if ratio > best_ratio:
@@ -64,7 +64,9 @@
         return best
 
 
-def _reachable_ratio(partition_map: PartitionMap, holds: HoldsSnapshot) -> float:
+def _reachable_ratio(
+    partition_map: PartitionMap, holds_snapshot: HoldsSnapshot
+) -> float:
     total = partition_map.n_documents
     if total == 0:
         return 1.0
@@ -72,10 +74,12 @@
     reachable = sum(
         shard.n_documents
         for shard in partition_map.shards
-        if _is_reachable(shard, snapshot_id, holds)
+        if _is_reachable(shard, snapshot_id, holds_snapshot)
     )
     return reachable / total
 
 
-def _is_reachable(shard: Shard, snapshot_id: int, holds: HoldsSnapshot) -> bool:
-    return any(holds(replica, snapshot_id) for replica in shard.replicas)
+def _is_reachable(
+    shard: Shard, snapshot_id: int, holds_snapshot: HoldsSnapshot
+) -> bool:
+    return any(holds_snapshot(replica, snapshot_id) for replica in shard.replicas)
--- a/chestnuthall/core/routing/_connections.py
+++ b/chestnuthall/core/routing/_connections.py
@@ -1,27 +1,30 @@
-"""An instance's part of the connections that an upstream accepts."""
+"""An instance's quota of the connections that an upstream accepts."""
 
-# An instance that has left the view may only be paused or cut off and still
-# hold its connections, so its part is taken over late.
+# Delay before the quota of an instance that left the membership view is
+# redistributed, since it may only be paused or partitioned from its peers and still
+# have its connections open.
 RAISE_DELAY_MS = 10_000.0
-# Room for one instance that a rolling restart starts before the others see it.
+# Allowance for an instance of a rolling restart that the others don't know of yet.
 N_INSTANCES_SPARE = 1
-# Part of an upstream's cap that idle connections may take up.
-KEPT_RATIO_MAX = 0.8
-# Part of an upstream's cap that instances in its own zone may take up where there
-# are not two connections for each instance. They call it first, so that theirs
-# serve most calls; the rest opens short-lived ones.
-NEAR_RATIO = 0.6
-# Connections of an instance to one upstream that count as enough.
+# Fraction of an upstream's cap that idle connections may occupy.
+IDLE_RATIO_MAX = 0.8
+# Fraction of an upstream's cap that instances in its own zone may occupy if the cap
+# is below two connections per instance. They prefer this upstream, so that their
+# connections serve most calls; instances of other zones open short-lived ones.
+SAME_ZONE_RATIO = 0.6
+# Connections of an instance to one upstream that are considered sufficient.
 N_CONNECTIONS_ENOUGH = 2
-# Assumed by an instance that starts, until it has known its fleet for the delay.
+# Number of instances that a starting instance assumes during its first
+# ``RAISE_DELAY_MS``.
 N_INSTANCES_ASSUMED = 12
 
 
 class ConnectionShare:
-    """Number of instances that the connections are divided over.
+    """Division of the connections to upstreams over the instances.
 
-    It rises at once and falls only after the lower number has been seen for
-    ``RAISE_DELAY_MS``, so that the sum over all instances stays within the cap.
+    The number of instances increases immediately and decreases only after the lower
+    number has been observed for ``RAISE_DELAY_MS``, so that the connections of all
+    instances together stay within the cap.
 
     Examples
     --------
@@ -36,21 +39,21 @@
         self, now_ms: float, n_instances_assumed: int = N_INSTANCES_ASSUMED
     ) -> None:
         self.n_instances = n_instances_assumed
-        self._seen = [(now_ms, n_instances_assumed)]
+        self._observed = [(now_ms, n_instances_assumed)]
 
     def observe(self, n_instances: int, now_ms: float) -> int:
-        """Note the number of live and joining instances.
+        """Record the number of live and joining instances.
 
-        Return the number that counts, the largest one seen within the delay.
+        Return the number to divide by, the largest one observed within the delay.
         """
         oldest_ms = now_ms - RAISE_DELAY_MS
-        self._seen = [item for item in self._seen if item[0] >= oldest_ms]
-        self._seen.append((now_ms, n_instances))
-        self.n_instances = max(n for _, n in self._seen)
+        self._observed = [item for item in self._observed if item[0] >= oldest_ms]
+        self._observed.append((now_ms, n_instances))
+        self.n_instances = max(n for _, n in self._observed)
         return self.n_instances
 
     def kept_ratio(self, n_connections_max: int) -> float:
-        """Return the part of the instances that may keep a connection open.
+        """Return the fraction of the instances that may keep an idle connection.
 
         Examples
         --------
@@ -58,17 +61,18 @@
         >>> share.kept_ratio(40), share.kept_ratio(400)
         (0.4, 1.0)
         """
-        return min(1.0, KEPT_RATIO_MAX * n_connections_max / self.n_instances)
+        return min(1.0, IDLE_RATIO_MAX * n_connections_max / self.n_instances)
 
     def budget(self, n_connections_max: int) -> int:
-        """Return this instance's part of an upstream's cap; at least one."""
+        """Return this instance's quota of an upstream's cap; at least one."""
         return max(1, n_connections_max // (self.n_instances + N_INSTANCES_SPARE))
 
     def near_budget(self, n_connections_max: int, n_near: int) -> int | None:
-        """Return the part for an upstream in this zone, which ``n_near`` share.
+        """Return this instance's quota for an upstream in its own zone.
 
-        None where the equal part is enough, or where even those in its zone have
-        less than one each.
+        ``n_near`` is the number of instances in the zone. Return None if the equal
+        quota is sufficient, or if even the instances of the zone would get less than
+        one connection each.
 
         Examples
         --------
@@ -78,6 +82,6 @@
         """
         if self.budget(n_connections_max) >= N_CONNECTIONS_ENOUGH:
             return None
-        cap = int(NEAR_RATIO * n_connections_max)
+        cap = int(SAME_ZONE_RATIO * n_connections_max)
         n_each = cap // (n_near + N_INSTANCES_SPARE)
         return min(n_each, N_CONNECTIONS_ENOUGH) or None
--- a/chestnuthall/core/routing/_delegation.py
+++ b/chestnuthall/core/routing/_delegation.py
@@ -1,26 +1,29 @@
-"""Shards of a search that a peer nearer to their replicas answers for."""
+"""Delegation of a search on remote shards to a peer near their replicas."""
 
 from collections import Counter
 from collections.abc import Callable, Sequence
 
 from chestnuthall.core.model import KeyRange, Replica, Shard
 
-# A peer's answer for a single shard is as large as the replica's own.
-N_SHARDS_OF_SET_MIN = 2
-# A zone is nearer to a set if it has replicas of at least this part of its shards.
+# Smallest set that is delegated; a peer's answer for a single shard is as large as
+# the answer of the replica itself.
+N_SHARDS_IN_SET_MIN = 2
+# Fraction of the shards of a set that must have a replica in a zone for the zone to
+# count as near.
 NEARER_RATIO_MIN = 0.8
 
-PeersIn = Callable[[frozenset[str]], tuple[Replica, ...]]
+PeersInZones = Callable[[frozenset[str]], tuple[Replica, ...]]
 
 
 def bundle_far_shards(
-    shards: Sequence[Shard], own_zone: str, peers_in: PeersIn
+    shards: Sequence[Shard], own_zone: str, peers_in_zones: PeersInZones
 ) -> tuple[Shard, ...]:
-    """Join the shards without a replica in ``own_zone`` into one set for a peer.
+    """Combine the shards without a replica in ``own_zone`` into one set for a peer.
 
-    The answers of their replicas stay within the peer's zone then, and one merged
-    answer crosses. ``peers_in`` returns the peers in some zones; the shards stay as
-    they are where there are none, or where no zone is nearer to most of them.
+    The answers of their replicas then stay within the peer's zone, and only one
+    merged answer crosses zones. ``peers_in_zones`` returns the peers in some zones.
+    The shards are returned unchanged if there are no peers, or if no zone is near to
+    most of the shards.
 
     Examples
     --------
@@ -30,22 +33,22 @@
     >>> [one.shard_id for one in bundle_far_shards(shards, "b", lambda _: peers)]
     ['s0+2']
     """
-    far = [
+    remote = [
         shard
         for shard in shards
         if shard.replicas and all(item.zone != own_zone for item in shard.replicas)
     ]
-    if len(far) < N_SHARDS_OF_SET_MIN:
+    if len(remote) < N_SHARDS_IN_SET_MIN:
         return tuple(shards)
-    peers = peers_in(_zones_nearer(far))
+    peers = peers_in_zones(_zones_near(remote))
     if not peers:
         return tuple(shards)
-    far_ids = {shard.shard_id for shard in far}
-    near = [shard for shard in shards if shard.shard_id not in far_ids]
-    return (_join(far, peers), *near)
+    remote_ids = {shard.shard_id for shard in remote}
+    local = [shard for shard in shards if shard.shard_id not in remote_ids]
+    return (_make_set(remote, peers), *local)
 
 
-def _zones_nearer(shards: Sequence[Shard]) -> frozenset[str]:
+def _zones_near(shards: Sequence[Shard]) -> frozenset[str]:
     n_shards_of_zone = Counter(
         zone for shard in shards for zone in {item.zone for item in shard.replicas}
     )
@@ -53,7 +56,7 @@
     return frozenset(zone for zone, n in n_shards_of_zone.items() if n >= n_wanted)
 
 
-def _join(members: Sequence[Shard], peers: tuple[Replica, ...]) -> Shard:
+def _make_set(members: Sequence[Shard], peers: tuple[Replica, ...]) -> Shard:
     return Shard(
         shard_id=f"{members[0].shard_id}+{len(members) - 1}",
         key_range=KeyRange("", ""),
--- a/chestnuthall/core/routing/_latency.py
+++ b/chestnuthall/core/routing/_latency.py
@@ -7,7 +7,7 @@
 
 
 class LatencyWindow:
-    """The last latencies of one kind of call, in milliseconds.
+    """The most recent latencies of one kind of call, in milliseconds.
 
     Examples
     --------
@@ -27,7 +27,7 @@
         return len(self._recent)
 
     def add(self, latency_ms: float) -> None:
-        """Add one latency and forget the oldest beyond the window."""
+        """Add a latency and discard the oldest one beyond the window."""
         self._recent.append(latency_ms)
         insort(self._sorted, latency_ms)
         if len(self._recent) > self._n_kept:
--- a/chestnuthall/core/routing/_repeats.py
+++ b/chestnuthall/core/routing/_repeats.py
@@ -1,14 +1,17 @@
-"""A bound on repeated calls to each service over a sliding window."""
+"""Bound on the repeated calls to each service, over a sliding window.
+
+A repeat is a retry or a hedge.
+"""
 
 from collections import deque
 from collections.abc import Collection
 from dataclasses import dataclass, field
 
-# Part of the allowance that an instance uses. The rest covers calls that arrive
-# later than they were counted, in a window with fewer requests.
-USED_RATIO = 0.95
-# Part of the allowance that hedges leave to retries, since a retry saves an
-# answer and a hedge only time.
+# Fraction of the allowance that an instance uses. The rest covers calls that reach
+# the service later than they are counted here, in a window with fewer requests.
+USABLE_RATIO = 0.95
+# Fraction of the usable allowance that is open to hedges. The rest is reserved for
+# retries, since a retry saves an answer and a hedge only time.
 HEDGE_RATIO = 0.9
 
 
@@ -16,8 +19,8 @@
 class RepeatLimits:
     """Allowance of the whole fleet for each service.
 
-    In any window of ``window_ms`` a service may get repeats for ``ratio`` of its
-    requests, and ``n_floor`` more.
+    In any window of ``window_ms`` a service may get ``n_floor`` repeats plus
+    ``ratio`` times the number of its requests.
     """
 
     ratio: float
@@ -32,18 +35,18 @@
     requested_ms: deque[float] = field(default_factory=deque)
     repeated_ms: deque[float] = field(default_factory=deque)
 
-    def forget_before(self, oldest_ms: float) -> None:
+    def discard_before(self, oldest_ms: float) -> None:
         for times in (self.requested_ms, self.repeated_ms):
             while times and times[0] < oldest_ms:
                 times.popleft()
 
 
 class RepeatBudget:
-    """This instance's part of the allowance for repeats of each service.
+    """This instance's quota of the allowance for repeats of each service.
 
-    Each instance spends at most the ratio of its own requests and an equal part
-    of the floor, so that the fleet keeps the bound without agreement. Windows
-    slide, and a repeat counts when it is sent.
+    The quota is the ratio of the instance's own requests and an equal fraction of
+    the floor, so that the fleet keeps within the bound without coordination. The
+    windows slide, and a repeat is counted when it is sent.
 
     Examples
     --------
@@ -63,32 +66,35 @@
     def set_n_instances(self, n_instances: int | None) -> None:
         """Set an upper bound on the instances that share the floor.
 
-        None means that it is unknown, which leaves no part of the floor.
+        None means that it is unknown; the instance then uses nothing of the floor.
         """
         self._n_instances = n_instances
 
     def earn(
         self, shard_ids: Collection[str], utilisation_ratio: float, now_ms: float
     ) -> None:
-        """Note the first calls of a query, one at each shard."""
+        """Record the first calls of a query, one for each shard."""
         for shard_id in shard_ids:
             self._window(shard_id, now_ms).requested_ms.append(now_ms)
 
     def try_take_retry(
         self, shard_id: str, now_ms: float, may_overdraw: bool = False
     ) -> bool:
-        """Count one retry if the allowance has room for it."""
-        return self._try_take(shard_id, now_ms, 1.0)
+        """Count one retry if it is within the allowance; return whether it is."""
+        return self._try_acquire(shard_id, now_ms, 1.0)
 
     def try_take_hedge(
         self, shard_id: str, now_ms: float, lateness_ratio: float
     ) -> bool:
-        """Count one hedge if the allowance has room for it beside retries."""
-        return self._try_take(shard_id, now_ms, HEDGE_RATIO)
+        """Count one hedge if it is within the allowance for hedges.
+
+        Return whether it is.
+        """
+        return self._try_acquire(shard_id, now_ms, HEDGE_RATIO)
 
-    def _try_take(self, shard_id: str, now_ms: float, part_ratio: float) -> bool:
+    def _try_acquire(self, shard_id: str, now_ms: float, usable_ratio: float) -> bool:
         window = self._window(shard_id, now_ms)
-        allowed = USED_RATIO * part_ratio * self._allowance(window)
+        allowed = USABLE_RATIO * usable_ratio * self._allowance(window)
         if len(window.repeated_ms) + 1 > allowed:
             return False
         window.repeated_ms.append(now_ms)
@@ -104,11 +110,11 @@
         window = self._windows.get(shard_id)
         if window is None:
             window = self._windows[shard_id] = _Window()
-        window.forget_before(now_ms - self._limits.window_ms)
+        window.discard_before(now_ms - self._limits.window_ms)
         return window
 
     def forget_idle(self, now_ms: float) -> None:
-        """Drop the windows of services that get no requests any more."""
+        """Remove the windows of services without recent requests or repeats."""
         for shard_id in tuple(self._windows):
             window = self._window(shard_id, now_ms)
             if not window.requested_ms and not window.repeated_ms:
--- a/chestnuthall/core/routing/_replicas.py
+++ b/chestnuthall/core/routing/_replicas.py
@@ -1,23 +1,26 @@
-"""What an instance knows about one replica from its own calls."""
+"""State of one replica, as an instance derives it from its own calls."""
 
 from dataclasses import dataclass, field
 from math import exp
 
-# Weight of the newest latency in the moving average: high enough to notice a
-# slowed replica within a few calls.
+# Weight of the newest latency in the moving average, high enough to detect a slowed
+# replica within a few calls.
 LATENCY_WEIGHT = 0.3
-# A replica that is not called any more gives no news. Its excess latency is
-# forgotten at this rate, so that a slow stretch of seconds is not held against
-# it for long.
-FORGET_EXCESS_MS = 1_000.0
-# How long "does not hold the snapshot" keeps calls away. A replica that is not
-# called cannot state that it has loaded the snapshot since.
-NOT_HELD_TRUSTED_MS = 2_000.0
+# Time constant with which the excess latency of a replica decays between calls. A
+# replica that is not called provides no samples, and without the decay a few slow
+# seconds would keep calls away from it for long.
+EXCESS_DECAY_MS = 1_000.0
+# How long a report that a replica lacks a snapshot keeps calls for it away. Without
+# calls the replica cannot report that it has loaded the snapshot since.
+MISSING_SNAPSHOT_TRUSTED_MS = 2_000.0
 
 
 @dataclass(frozen=True, slots=True)
 class InFlight:
-    """A call that runs; ``scale`` is its usual time over that of the reference."""
+    """A call in flight.
+
+    ``scale`` is the ratio of its typical latency to that of the reference work.
+    """
 
     started_ms: float
     scale: float
@@ -25,11 +28,11 @@
 
 @dataclass(slots=True)
 class ReplicaState:
-    """Local view of one replica; platform load reports are not part of it.
+    """Local view of one replica, without load reports of the platform.
 
-    ``held_snapshots`` is None until the replica has stated them.
-    ``in_flight`` has the calls that have not ended, oldest first. Latencies
-    are in the time of the reference work; see ``Router``.
+    ``held_snapshots`` is None until the replica has reported them. ``in_flight``
+    are the calls that have not ended, oldest first. Latencies are scaled to the
+    reference work; see ``Router``.
     """
 
     name: str
@@ -37,20 +40,20 @@
     updated_ms: float = 0.0
     in_flight: list[InFlight] = field(default_factory=list)
     held_snapshots: frozenset[int] | None = None
-    held_stated_ms: float = float("-inf")
+    held_reported_ms: float = float("-inf")
     missing_snapshots: dict[int, float] = field(default_factory=dict)
     drained_until_ms: float = float("-inf")
     avoided_until_ms: float = float("-inf")
-    ramp_from_ms: float = float("-inf")
+    ramp_started_ms: float = float("-inf")
     n_failures_in_row: int = 0
 
     @property
     def n_in_flight(self) -> int:
-        """Calls of this instance that the replica has not ended."""
+        """Number of this instance's calls in flight to the replica."""
         return len(self.in_flight)
 
     def observe_latency(self, latency_ms: float, now_ms: float) -> None:
-        """Fold one latency into the moving average."""
+        """Add one latency to the moving average."""
         self.updated_ms = now_ms
         if self.latency_ms is None:
             self.latency_ms = latency_ms
@@ -58,58 +61,59 @@
         self.latency_ms += LATENCY_WEIGHT * (latency_ms - self.latency_ms)
 
     def raise_latency(self, latency_ms: float, now_ms: float) -> None:
-        """Note that the replica takes at least this long now."""
+        """Raise the latency to a lower bound of what the replica takes now."""
         self.updated_ms = now_ms
         if self.latency_ms is None or latency_ms > self.latency_ms:
             self.latency_ms = latency_ms
 
     def expected_latency_ms(self, typical_ms: float, now_ms: float) -> float:
-        """Return the latency to expect, from past calls and those in flight.
+        """Return the expected latency, from past calls and those in flight.
 
-        The age of the oldest call in flight is a lower bound for what the
-        replica takes now, known long before the call ends.
+        The age of the oldest call in flight is a lower bound of the current latency
+        of the replica, known long before the call ends.
         """
         latency_ms = typical_ms if self.latency_ms is None else self.latency_ms
         if latency_ms > typical_ms:
             age_ms = now_ms - self.updated_ms
             excess_ms = latency_ms - typical_ms
-            latency_ms = typical_ms + excess_ms * exp(-age_ms / FORGET_EXCESS_MS)
+            latency_ms = typical_ms + excess_ms * exp(-age_ms / EXCESS_DECAY_MS)
         for call in self.in_flight:
             latency_ms = max(latency_ms, (now_ms - call.started_ms) / call.scale)
         return latency_ms
 
-    def holds(self, snapshot_id: int) -> bool:
-        """Return whether the replica holds a snapshot, as far as known."""
+    def holds_snapshot(self, snapshot_id: int) -> bool:
+        """Return whether the replica holds a snapshot, as far as is known."""
         if snapshot_id in self.missing_snapshots:
             return False
         return self.held_snapshots is None or snapshot_id in self.held_snapshots
 
-    def may_hold(self, snapshot_id: int, now_ms: float) -> bool:
+    def may_serve(self, snapshot_id: int, now_ms: float) -> bool:
         """Return whether a call for a snapshot is worth trying."""
-        if self.holds(snapshot_id):
+        if self.holds_snapshot(snapshot_id):
             return True
-        stated_ms = self.missing_snapshots.get(snapshot_id, self.held_stated_ms)
-        return now_ms - stated_ms > NOT_HELD_TRUSTED_MS
+        reported_ms = self.missing_snapshots.get(snapshot_id, self.held_reported_ms)
+        return now_ms - reported_ms > MISSING_SNAPSHOT_TRUSTED_MS
 
     def note_held(self, snapshot_ids: tuple[int, ...], now_ms: float) -> None:
-        """Note the snapshots that the replica states."""
+        """Record the snapshots that the replica reported."""
         self.held_snapshots = frozenset(snapshot_ids)
-        self.held_stated_ms = now_ms
+        self.held_reported_ms = now_ms
         for snapshot_id in snapshot_ids:
             self.missing_snapshots.pop(snapshot_id, None)
 
     def note_missing(self, snapshot_id: int, now_ms: float) -> None:
-        """Note that the replica refused a snapshot.
+        """Record that the replica refused a call because it lacks the snapshot.
 
-        What it stated earlier is out of date then, so it may hold a newer one.
+        The snapshots that it reported earlier are then out of date, and it may hold
+        a newer one.
         """
         self.missing_snapshots[snapshot_id] = now_ms
         self.held_snapshots = None
 
     def is_draining(self, now_ms: float) -> bool:
-        """Return whether the replica takes no new calls."""
+        """Return whether the replica is draining and gets no new calls."""
         return now_ms < self.drained_until_ms
 
     def is_avoided(self, now_ms: float) -> bool:
-        """Return whether the replica failed lately and is called last."""
+        """Return whether the replica failed recently and is used as a last resort."""
         return now_ms < self.avoided_until_ms
--- a/chestnuthall/core/routing/_router.py
+++ b/chestnuthall/core/routing/_router.py
@@ -16,16 +16,17 @@
 from chestnuthall.core.routing._latency import LatencyWindow
 from chestnuthall.core.routing._replicas import InFlight, ReplicaState
 
-# Failures or sheds in a row after which a replica that answers again is ramped
-# up, since it starts cold or is near its limit. A single one is no sign of that.
-N_FAILURES_OF_RESTART = 2
-# How much longer than until its cancellation a slow call is taken to last.
-CANCELLED_FACTOR = 2.0
-# Fewer latencies do not reach a quantile of 0.95, and would hedge ordinary calls.
-N_SAMPLES_FOR_QUANTILE = 20
-# Kinds of work with latencies of their own; the oldest goes first, since
-# configurations replace them.
-N_WORKS_KEPT = 64
+# Consecutive failures or sheds after which a replica that answers again is ramped
+# up, since it starts cold or is near its limit. A single failure indicates neither.
+N_FAILURES_BEFORE_RAMP = 2
+# Assumed ratio of the latency of a slow call to its age when it was cancelled.
+CANCELLED_LATENCY_FACTOR = 2.0
+# Samples needed for a hedge delay. With fewer, a quantile of 0.95 is not resolved
+# and ordinary calls would be hedged.
+N_QUANTILE_SAMPLES_MIN = 20
+# Kinds of work whose latencies are kept. The oldest one is removed first, since a new
+# configuration replaces the kinds.
+N_LATENCY_WINDOWS_MAX = 64
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -44,8 +45,8 @@
     hedge_delay_min_ms: float = 2.0
     hedge_delay_unknown_ms: float = 50.0
     avoid_base_ms: float = 200.0
-    # A lost replica that is asked again costs a refused connection, and a
-    # returned one is needed at once, so the longest pause is short.
+    # The longest pause is short: a call to an unavailable replica costs only a
+    # refused connection, and a recovered one is needed immediately.
     avoid_max_ms: float = 2_000.0
     failure_cost_ms: float = 50.0
     ejected_ratio_max: float = 1.0 / 3.0
@@ -55,12 +56,13 @@
 
 
 class Router:
-    """Replica statistics of one group, and the choice made from them.
+    """Replica statistics of one group, and replica choice based on them.
 
-    Calls whose usual times differ are told apart by a name for their ``work``.
-    Each has latencies of its own, and a replica's latency is kept as a multiple
-    of the usual one, so that a slow replica found by one kind of call is known
-    to the others. Work without a name is the reference.
+    Calls with different typical latencies are distinguished by the name of their
+    kind, ``work``. Each kind has its own latency window, and the latency of a
+    replica is scaled by the typical one of the kind, so that a replica found to be
+    slow by one kind of call is known to be slow for the others. The empty name is
+    the reference work.
     """
 
     def __init__(self, settings: RouterSettings, random: Random) -> None:
@@ -73,29 +75,29 @@
     def _window(self, work: str) -> LatencyWindow:
         window = self._latencies.get(work)
         if window is None:
-            while len(self._latencies) >= N_WORKS_KEPT:
+            while len(self._latencies) >= N_LATENCY_WINDOWS_MAX:
                 del self._latencies[next(iter(self._latencies))]
             window = self._latencies[work] = LatencyWindow()
         return window
 
     def _scale(self, work: str) -> float:
-        """Return the usual time of a kind of call over that of the reference."""
+        """Return the ratio of the typical latency of a kind to the reference."""
         if not work:
             return 1.0
         return self.typical_ms(work) / self._settings.unknown_latency_ms
 
     def forget(self, replica_name: str) -> None:
-        """Drop what is known of a replica that is gone or has started anew."""
+        """Remove the state of a replica that was removed or has restarted."""
         state = self._replicas.pop(replica_name, None)
         if state is not None:
             self.n_in_flight -= state.n_in_flight
 
     def begin_warm_up(self, replica_name: str, now_ms: float) -> None:
-        """Give a replica that has just started less than its part at first."""
-        self.state_of(replica_name).ramp_from_ms = now_ms
+        """Give a replica that has just started fewer calls at first."""
+        self.state_of(replica_name).ramp_started_ms = now_ms
 
     def state_of(self, replica_name: str) -> ReplicaState:
-        """Return the local view of a replica, made at its first use."""
+        """Return the local view of a replica, created at its first use."""
         state = self._replicas.get(replica_name)
         if state is None:
             state = self._replicas[replica_name] = ReplicaState(replica_name)
@@ -104,12 +106,12 @@
     def holds(self, replica: Replica, snapshot_id: int, now_ms: float) -> bool:
         """Return whether a replica is known to serve a snapshot."""
         state = self.state_of(replica.name)
-        return state.holds(snapshot_id) and not state.is_draining(now_ms)
+        return state.holds_snapshot(snapshot_id) and not state.is_draining(now_ms)
 
     def may_call(self, replica: Replica, snapshot_id: int, now_ms: float) -> bool:
         """Return whether a call for a snapshot may be tried at a replica."""
         state = self.state_of(replica.name)
-        return state.may_hold(snapshot_id, now_ms) and not state.is_draining(now_ms)
+        return state.may_serve(snapshot_id, now_ms) and not state.is_draining(now_ms)
 
     def choose(
         self,
@@ -120,9 +122,9 @@
         needs_free_slot: bool = False,
         work: str = "",
     ) -> Replica | None:
-        """Return the replica with the least expected time of a few, or None.
+        """Return the replica with the least expected latency of a sample, or None.
 
-        Ejected replicas are used only when no other one is left.
+        Ejected replicas are used only if no other one is usable.
         """
         usable = [
             replica
@@ -140,16 +142,18 @@
         if len(usable) > n_candidates:
             usable = self._random.sample(usable, n_candidates)
         scale = self._scale(work)
-        usual_ms = self._reference_ms()
+        reference_ms = self._reference_ms()
         return min(
-            usable, key=lambda item: self._expected_ms(item, now_ms, scale, usual_ms)
+            usable,
+            key=lambda item: self._expected_ms(item, now_ms, scale, reference_ms),
         )
 
     def ejected_names(self, shard: Shard, now_ms: float) -> frozenset[str]:
         """Return the replicas of a shard that get no calls after failures.
 
-        A limited part of a shard is ejected, those that failed most first, so
-        that misleading failures do not put all of its load on one replica.
+        At most a fraction of the replicas is ejected, those with the most failures
+        first, so that misleading failures do not put the whole load of the shard on
+        one replica.
         """
         avoided = [
             self.state_of(replica.name)
@@ -158,74 +162,81 @@
         ]
         if not avoided:
             return frozenset()
-        n_max = int(len(shard.replicas) * self._settings.ejected_ratio_max + 1e-9)
+        n_ejected_max = int(
+            len(shard.replicas) * self._settings.ejected_ratio_max + 1e-9
+        )
         avoided.sort(key=lambda state: -state.n_failures_in_row)
-        return frozenset(state.name for state in avoided[:n_max])
+        return frozenset(state.name for state in avoided[:n_ejected_max])
 
     def _expected_ms(
-        self, replica: Replica, now_ms: float, scale: float, usual_ms: float
+        self, replica: Replica, now_ms: float, scale: float, reference_ms: float
     ) -> float:
         settings = self._settings
         state = self.state_of(replica.name)
-        latency_ms = scale * state.expected_latency_ms(usual_ms, now_ms)
+        latency_ms = scale * state.expected_latency_ms(reference_ms, now_ms)
         n_slots = replica.n_slots or settings.n_slots
         queue_factor = 1.0 + state.n_in_flight / n_slots
-        zone_ms = 0.0
+        penalty_ms = 0.0
         if replica.zone != settings.zone:
-            zone_ms = settings.other_zone_cost_ms
+            penalty_ms = settings.other_zone_cost_ms
             latency_ms *= settings.other_zone_factor
         if state.is_avoided(now_ms):
-            zone_ms += settings.failure_cost_ms * state.n_failures_in_row
-        # A small random part spreads instances that know the same figures.
-        spread = self._random.uniform(0.9, 1.1)
-        return latency_ms * queue_factor * self._ramp(state, now_ms) * spread + zone_ms
+            penalty_ms += settings.failure_cost_ms * state.n_failures_in_row
+        # Jitter keeps instances with equal statistics from choosing the same replica.
+        jitter = self._random.uniform(0.9, 1.1)
+        return (
+            latency_ms * queue_factor * self._slowdown_factor(state, now_ms) * jitter
+            + penalty_ms
+        )
 
     def _reference_ms(self) -> float:
-        """Return the usual time of the reference work."""
+        """Return the typical latency of the reference work."""
         if "" in self._latencies:
             return self.typical_ms("")
         return self._settings.unknown_latency_ms
 
     def typical_ms(self, work: str) -> float:
-        """Return the usual time of a kind of call."""
+        """Return the typical latency of a kind of call."""
         typical_ms = self._window(work).quantile_ms(0.5)
         return self._settings.unknown_latency_ms if typical_ms is None else typical_ms
 
-    def _ramp(self, state: ReplicaState, now_ms: float) -> float:
-        """Return the factor by which a replica that just started counts as slower."""
+    def _slowdown_factor(self, state: ReplicaState, now_ms: float) -> float:
+        """Return the factor by which the latency of a restarted replica is raised."""
         settings = self._settings
-        left = 1.0 - (now_ms - state.ramp_from_ms) / settings.ramp_ms
-        return 1.0 + (settings.ramp_factor - 1.0) * max(0.0, left)
+        remaining_ratio = 1.0 - (now_ms - state.ramp_started_ms) / settings.ramp_ms
+        return 1.0 + (settings.ramp_factor - 1.0) * max(0.0, remaining_ratio)
 
     def has_free_slot(self, replica: Replica) -> bool:
-        """Return whether this instance leaves a slot of the replica unused."""
+        """Return whether this instance uses fewer slots than the replica has."""
         n_slots = replica.n_slots or self._settings.n_slots
         return self.state_of(replica.name).n_in_flight < n_slots
 
     def hedge_delay_ms(self, work: str = "") -> float:
-        """Return how long a call may run before a second one is considered."""
+        """Return how long a call runs before a hedge is considered."""
         settings = self._settings
         window = self._window(work)
         delay_ms = window.quantile_ms(settings.hedge_quantile)
-        if delay_ms is None or len(window) < N_SAMPLES_FOR_QUANTILE:
+        if delay_ms is None or len(window) < N_QUANTILE_SAMPLES_MIN:
             return settings.hedge_delay_unknown_ms
         return max(settings.hedge_delay_min_ms, delay_ms)
 
     def on_started(self, replica: Replica, now_ms: float, work: str = "") -> None:
-        """Note a call that was dispatched to a replica."""
+        """Record a call that was dispatched to a replica."""
         state = self.state_of(replica.name)
         state.in_flight.append(InFlight(now_ms, self._scale(work)))
         self.n_in_flight += 1
 
-    def _end(self, replica: Replica, started_ms: float) -> tuple[ReplicaState, float]:
-        """Remove a call; return the replica's state and the scale of its work."""
+    def _remove_in_flight(
+        self, replica: Replica, started_ms: float
+    ) -> tuple[ReplicaState, float]:
+        """Remove a call in flight; return the replica's state and the call's scale."""
         state = self.state_of(replica.name)
         for index, call in enumerate(state.in_flight):
             if call.started_ms == started_ms:
                 del state.in_flight[index]
                 self.n_in_flight -= 1
                 return state, call.scale
-        # The replica has started anew since, and its calls were forgotten.
+        # The replica has restarted since, and its calls in flight were removed.
         return state, 1.0
 
     def on_answered(
@@ -236,10 +247,10 @@
         now_ms: float,
         work: str = "",
     ) -> None:
-        """Note a whole answer of a replica."""
-        state, scale = self._end(replica, started_ms)
-        if state.n_failures_in_row >= N_FAILURES_OF_RESTART:
-            state.ramp_from_ms = now_ms
+        """Record a complete answer of a replica."""
+        state, scale = self._remove_in_flight(replica, started_ms)
+        if state.n_failures_in_row >= N_FAILURES_BEFORE_RAMP:
+            state.ramp_started_ms = now_ms
         state.n_failures_in_row = 0
         state.avoided_until_ms = float("-inf")
         if not self._is_slow(state):
@@ -260,17 +271,17 @@
         is_explained: bool = False,
         work: str = "",
     ) -> None:
-        """Note a failed or cancelled call.
+        """Record a failed or cancelled call.
 
-        ``is_explained`` marks a loss that a suspected request accounts for; it
-        is no evidence against the replica.
+        ``is_explained`` marks the loss of a call that is attributed to a request
+        suspected of crashing replicas; it is no evidence against the replica.
         """
-        state, scale = self._end(replica, started_ms)
+        state, scale = self._remove_in_flight(replica, started_ms)
         if failure.kind is CALL_CANCELLED:
             self._on_cancelled(state, now_ms - started_ms, now_ms, work, scale)
             return
         if failure.kind is REPLICA_REPLACED:
-            # The registration is out of date; the next one makes it forgotten.
+            # The registration is out of date; the next one resets this state.
             state.drained_until_ms = float("inf")
             return
         if failure.kind is SNAPSHOT_GONE:
@@ -279,7 +290,7 @@
         if is_explained or failure.kind is DEADLINE_PASSED:
             return
         state.n_failures_in_row += 1
-        state.avoided_until_ms = now_ms + self._avoid_ms(state, failure)
+        state.avoided_until_ms = now_ms + self._avoidance_ms(state, failure)
 
     def _on_cancelled(
         self,
@@ -291,23 +302,23 @@
     ) -> None:
         if elapsed_ms < self.hedge_delay_ms(work):
             return
-        # The call was slow and would have taken longer still. Without its sample
-        # the quantile would forget the calls that were hedged.
+        # The call was slow and would have taken even longer. Without its sample the
+        # quantile would not cover the calls that were hedged.
         if not self._is_slow(state):
             self._window(work).add(elapsed_ms)
-        state.raise_latency(CANCELLED_FACTOR * elapsed_ms / scale, now_ms)
+        state.raise_latency(CANCELLED_LATENCY_FACTOR * elapsed_ms / scale, now_ms)
 
     def _is_slow(self, state: ReplicaState) -> bool:
-        """Return whether a replica is slowed, as far as its past calls tell.
+        """Return whether a replica is slowed, judging by its past calls.
 
-        Its latencies are left out of the quantile. They would make every hedge
-        late at the very time that hedges are needed.
+        Its latencies are excluded from the quantile, since they would delay every
+        hedge just when hedges are needed.
         """
         if state.latency_ms is None:
             return False
         return state.latency_ms > self._settings.slow_ratio * self._reference_ms()
 
-    def _avoid_ms(self, state: ReplicaState, failure: Failure) -> float:
+    def _avoidance_ms(self, state: ReplicaState, failure: Failure) -> float:
         settings = self._settings
         if failure.kind is SHED_BY_UPSTREAM:
             return settings.avoid_base_ms / 4
@@ -315,10 +326,10 @@
         return min(settings.avoid_max_ms, settings.avoid_base_ms * 2.0**exponent)
 
     def drain(self, replica_name: str, now_ms: float) -> None:
-        """Send no new calls to a replica until its notice runs out."""
+        """Send no new calls to a replica until its drain notice expires."""
         until_ms = now_ms + self._settings.drain_notice_ms
         self.state_of(replica_name).drained_until_ms = until_ms
 
     def drain_until(self, replica_name: str, until_ms: float) -> None:
-        """Send no new calls to a replica until a time; a past one ends a drain."""
+        """Send no new calls to a replica until a time; a past time ends a drain."""
         self.state_of(replica_name).drained_until_ms = until_ms
--- a/chestnuthall/core/routing/_utilisation.py
+++ b/chestnuthall/core/routing/_utilisation.py
@@ -1,16 +1,15 @@
 """Utilisation of a group's slots as one instance sees it."""
 
-# Covers several queries of a small instance, whose number of calls in flight
-# jumps by a whole query at a time.
+# Weight of a sample. The average covers several queries of a small instance, whose
+# number of calls in flight changes by all calls of a query at once.
 SAMPLE_WEIGHT = 0.05
 
 
 class UtilisationAverage:
-    """Moving average of samples that are taken as queries arrive.
+    """Moving average of samples that are taken when queries arrive.
 
-    Each sample has the same weight, whatever the time since the last one. A
-    weight by time would favour samples after a pause, which find nothing in
-    flight.
+    Each sample has the same weight, independent of the time since the last one.
+    Weighting by time would favour samples after a pause, when nothing is in flight.
 
     Examples
     --------
@@ -23,7 +22,7 @@
         self._ratio: float | None = None
 
     def add(self, ratio: float) -> float:
-        """Fold in one sample and return the average."""
+        """Add one sample and return the average."""
         if self._ratio is None:
             self._ratio = ratio
         else:
--- a/chestnuthall/core/routing/tests/test_delegation.py
+++ b/chestnuthall/core/routing/tests/test_delegation.py
@@ -1,4 +1,8 @@
-"""Guards which shards of a search are left to a peer."""
+"""Guards the choice of the shards of a search that are delegated to a peer.
+
+The tests fail if shards with a replica in the own zone are delegated, or if shards
+are delegated to a zone without replicas of most of them.
+"""
 
 import pytest
 
@@ -21,13 +25,13 @@
 
 # (case, zones of each shard's replicas, shards of the set, zones of its peers)
 CASES = [
-    ("own zone has all", ["xa", "xb", "x"], "", ""),
-    ("own zone has none", ["ab", "ab", "ab"], "012", "ab"),
-    ("own zone has some", ["xa", "ab", "xb", "ab"], "13", "ab"),
-    ("one zone lacks few", ["a", "a", "a", "a", "b"], "01234", "a"),
-    ("no zone has most", ["a", "a", "b", "b"], "", ""),
-    ("a single one", ["xa", "a"], "", ""),
-    ("without replicas", ["", "", "a"], "", ""),
+    ("all shards in own zone", ["xa", "xb", "x"], "", ""),
+    ("no shard in own zone", ["ab", "ab", "ab"], "012", "ab"),
+    ("some shards in own zone", ["xa", "ab", "xb", "ab"], "13", "ab"),
+    ("one zone has most shards", ["a", "a", "a", "a", "b"], "01234", "a"),
+    ("no zone has most shards", ["a", "a", "b", "b"], "", ""),
+    ("single remote shard", ["xa", "a"], "", ""),
+    ("shards without replicas", ["", "", "a"], "", ""),
 ]
 
 
@@ -37,24 +41,24 @@
     ids=[case[0] for case in CASES],
 )
 def test_bundle_far_shards(zones, members, peer_zones):
-    """A set that no zone is nearer to would pay for a way that it does not save."""
-    asked = []
+    """A set that is near to no zone would add a hop without saving traffic."""
+    requested_zones = []
 
-    def peers_in(found):
-        asked.append(found)
-        return (Replica("p", "10.0.0.2:80", min(found)),) if found else ()
+    def peers_in_zones(near_zones):
+        requested_zones.append(near_zones)
+        return (Replica("p", "10.0.0.2:80", min(near_zones)),) if near_zones else ()
 
     shards = make_shards(*zones)
-    bundled = bundle_far_shards(shards, "x", peers_in)
+    bundled = bundle_far_shards(shards, "x", peers_in_zones)
     sets = [shard for shard in bundled if shard.members]
     single = [shard for shard in bundled if not shard.members]
     assert [m.shard_id for s in sets for m in s.members] == [f"s{i}" for i in members]
     assert len(single) + len(members) == len(shards)
     if members:
-        assert asked == [frozenset(peer_zones)]
+        assert requested_zones == [frozenset(peer_zones)]
         assert sets[0].n_documents == len(members)
 
 
-def test_shards_stay_where_no_peer_is_known():
+def test_shards_are_unchanged_without_peers():
     shards = make_shards("a", "a", "a")
     assert bundle_far_shards(shards, "x", lambda zones: ()) == tuple(shards)
--- a/chestnuthall/core/routing/tests/test_routing.py
+++ b/chestnuthall/core/routing/tests/test_routing.py
@@ -1,4 +1,8 @@
-"""Guards replica choice, the extra-load budget and the connection budget."""
+"""Guards replica choice, the extra-load budget and the connection budget.
+
+The tests fail if calls go to slow, failed or replaced replicas, if failures eject too
+many replicas or for too long, or if extra calls or connections exceed their budget.
+"""
 
 from random import Random
 
@@ -45,22 +49,22 @@
     router.on_failed(replica, kind.because("x"), 1, now_ms, now_ms)
 
 
-def chosen(router, shard, now_ms, n=200, **options):
+def chosen_names(router, shard, now_ms, n=200, **options):
     found = [router.choose(shard, 1, (), now_ms, **options) for _ in range(n)]
     return {replica.name for replica in found if replica is not None}
 
 
 @pytest.mark.parametrize(
-    ("utilisation_ratio", "hedges", "n_extra_max"),
+    ("utilisation_ratio", "is_hedge", "n_extra_max"),
     [
-        pytest.param(0.5, True, 0.03 * N_CALLS + 10, id="calm"),
-        pytest.param(0.825, True, 0.015 * N_CALLS + 10, id="half-way"),
+        pytest.param(0.5, True, 0.03 * N_CALLS + 10, id="low-utilisation"),
+        pytest.param(0.825, True, 0.015 * N_CALLS + 10, id="reduced-budget"),
         pytest.param(1.0, True, 1, id="saturated-hedges"),
         pytest.param(1.0, False, 0.005 * N_CALLS, id="saturated-retries"),
     ],
 )
-def test_extra_calls_stay_within_the_budget(utilisation_ratio, hedges, n_extra_max):
-    """Hedges and retries must not add load that upstreams have no room for."""
+def test_extra_calls_stay_within_the_budget(utilisation_ratio, is_hedge, n_extra_max):
+    """Hedges and retries must not exceed the capacity of upstreams."""
     budget = ExtraLoadBudget(ExtraLoadPolicy())
     n_extra = 0
     for _ in range(N_CALLS // 10):
@@ -68,14 +72,14 @@
         for _ in range(10):
             n_extra += (
                 budget.try_take_hedge("s", 0.0, 2.0)
-                if hedges
+                if is_hedge
                 else budget.try_take_retry("s", 0.0, may_overdraw=True)
             )
     assert n_extra <= n_extra_max
 
 
-def test_retries_go_before_hedges():
-    """Without credit a retry that saves coverage must still be possible."""
+def test_retry_may_overdraw_credit_spent_by_hedges():
+    """A retry that saves coverage must still be possible without credit."""
     budget = ExtraLoadBudget(ExtraLoadPolicy())
     while budget.try_take_hedge("s", 0.0, 2.0):
         pass
@@ -87,7 +91,7 @@
     ("n_replicas", "n_failing", "n_ejected"),
     [(3, 1, 1), (3, 3, 1), (2, 2, 0), (8, 8, 2), (11, 2, 2)],
 )
-def test_ejection_is_limited(n_replicas, n_failing, n_ejected):
+def test_ejected_fraction_is_limited(n_replicas, n_failing, n_ejected):
     """Misleading failures must not put a shard's whole load on one replica."""
     router, shard, replicas = make_router(n_replicas)
     for replica in replicas[:n_failing]:
@@ -102,32 +106,32 @@
 
 
 @pytest.mark.parametrize(
-    ("n_failures", "after_ms", "is_back"),
+    ("n_failures", "after_ms", "is_usable_again"),
     [(1, 100.0, False), (1, 201.0, True), (12, 1_900.0, False), (12, 2_001.0, True)],
 )
-def test_ejected_replica_returns_quickly(n_failures, after_ms, is_back):
-    """A replica that is back must not stay out for long."""
+def test_ejection_ends_after_a_short_time(n_failures, after_ms, is_usable_again):
+    """A replica that is available again must not stay ejected for long."""
     router, shard, replicas = make_router()
     for _ in range(n_failures):
         fail(router, replicas[0], NO_REPLICA, 0.0)
-    assert ("r0" not in router.ejected_names(shard, after_ms)) == is_back
+    assert ("r0" not in router.ejected_names(shard, after_ms)) == is_usable_again
 
 
-def test_slow_call_in_flight_keeps_others_away():
-    """A slowed replica must be noticed before its first late answer."""
+def test_slow_call_in_flight_diverts_other_calls():
+    """A slowed replica must be detected before its first late answer."""
     router, shard, replicas = make_router()
     for replica in replicas:
         answer(router, replica, 10.0, 10.0)
     for replica in replicas:
         router.on_started(replica, 10.0)
-    assert "r0" in chosen(router, shard, 11.0)
+    assert "r0" in chosen_names(router, shard, 11.0)
     for replica in replicas[1:]:
         router.on_answered(replica, 10.0, ANSWER, 20.0)
         router.on_started(replica, 59.0)
-    assert "r0" not in chosen(router, shard, 60.0)
+    assert "r0" not in chosen_names(router, shard, 60.0)
 
 
-def test_cancelled_slow_call_keeps_others_away():
+def test_cancelled_slow_call_diverts_other_calls():
     """A replica whose late calls are cancelled must not look fast."""
     router, shard, replicas = make_router()
     for i in range(30):
@@ -135,36 +139,36 @@
     router.on_started(replicas[0], 10.0)
     cancelled = CALL_CANCELLED.because("hedge won")
     router.on_failed(replicas[0], cancelled, 1, 10.0, 30.0)
-    assert "r0" not in chosen(router, shard, 31.0)
-    assert "r0" in chosen(router, shard, 10_000.0)
+    assert "r0" not in chosen_names(router, shard, 31.0)
+    assert "r0" in chosen_names(router, shard, 10_000.0)
 
 
-def test_restarted_replica_gets_less_at_first():
-    """A replica that is back but cold must not get its whole load at once."""
+def test_restarted_replica_gets_fewer_calls_at_first():
+    """A restarted, cold replica must not get its full load immediately."""
     router, shard, replicas = make_router()
     for replica in replicas:
         answer(router, replica, 10.0, 0.0)
     fail(router, replicas[0], NO_REPLICA, 0.0)
     fail(router, replicas[0], NO_REPLICA, 0.0)
     answer(router, replicas[0], 10.0, 1_000.0)
-    assert "r0" not in chosen(router, shard, 1_010.0)
-    assert "r0" in chosen(router, shard, 3_010.0)
+    assert "r0" not in chosen_names(router, shard, 1_010.0)
+    assert "r0" in chosen_names(router, shard, 3_010.0)
 
 
 def test_hedge_needs_a_free_slot():
-    """A hedge must not join a queue."""
+    """A hedge must not wait in the queue of a replica."""
     router, shard, replicas = make_router(n_slots=2)
     for replica in replicas[:2]:
         router.on_started(replica, 0.0)
         router.on_started(replica, 0.0)
-    assert chosen(router, shard, 1.0, needs_free_slot=True) == {"r2"}
+    assert chosen_names(router, shard, 1.0, needs_free_slot=True) == {"r2"}
     router.on_started(replicas[2], 0.0)
     router.on_started(replicas[2], 0.0)
-    assert chosen(router, shard, 1.0, needs_free_slot=True) == set()
+    assert chosen_names(router, shard, 1.0, needs_free_slot=True) == set()
 
 
-def test_slowed_replicas_do_not_raise_the_hedge_delay():
-    """Hedges must not come late when replicas are slowed."""
+def test_slowed_replica_does_not_raise_the_hedge_delay():
+    """Slowed replicas must not delay hedges."""
     router, _, replicas = make_router()
     for i in range(200):
         answer(router, replicas[i % 2], 10.0, i * 100.0)
@@ -173,8 +177,8 @@
     assert router.hedge_delay_ms() < 20.0
 
 
-def test_replica_may_be_tried_for_a_newer_snapshot_after_a_refusal():
-    """A swap must not leave replicas unused because of what they held before."""
+def test_refused_snapshot_does_not_exclude_newer_ones():
+    """After a snapshot swap replicas must not stay unused for their former snapshot."""
     router, _, (replica, *_) = make_router()
     held = ShardAnswer("c", "s", 1, (), 1, held_snapshots=(1,))
     router.on_started(replica, 0.0)
@@ -188,7 +192,7 @@
 
 @pytest.mark.parametrize("n_connections_max", [30, 35, 110])
 @pytest.mark.parametrize("seed", range(3))
-def test_connections_never_pass_the_cap(seed, n_connections_max):
+def test_connections_of_all_instances_stay_within_the_cap(seed, n_connections_max):
     """Instances that start and leave must not exhaust an upstream's connections."""
     random = Random(seed)
     shares = {i: ConnectionShare(0.0) for i in range(9)}
@@ -198,7 +202,7 @@
         n_alive = len(shares)
         for share in shares.values():
             share.observe(n_alive, now_ms)
-        # One instance of a rolling restart starts before the others see it.
+        # An instance of a rolling restart that the others don't know of yet.
         if step % 25 == 24 and n_alive < 12 and random.random() < 0.5:
             shares[100 + step] = ConnectionShare(now_ms)
         elif step % 25 == 24 and n_alive > 6:
@@ -207,31 +211,33 @@
         assert sum(budgets) <= n_connections_max
 
 
-def test_replaced_replica_gets_no_calls_until_it_registers_anew():
-    """Calls to an address with a new holder count as load of its service."""
+def test_replaced_replica_gets_no_calls_until_it_registers_again():
+    """Calls to an address that another replica uses now would load its service."""
     router, shard, replicas = make_router()
     fail(router, replicas[0], REPLICA_REPLACED, 0.0)
-    assert "r0" not in chosen(router, shard, 60_000.0)
+    assert "r0" not in chosen_names(router, shard, 60_000.0)
     router.forget("r0")
-    assert "r0" in chosen(router, shard, 60_000.0)
+    assert "r0" in chosen_names(router, shard, 60_000.0)
 
 
-# (case, factor, local latency, remote latency, replicas chosen)
-ZONES = [
+# (case, factor, local latency, remote latency, names of the chosen replicas)
+ZONE_CASES = [
     ("same latency", 4.0, 10.0, 10.0, {"r0"}),
-    ("local one a little slower", 4.0, 30.0, 10.0, {"r0"}),
-    ("local one much slower", 4.0, 80.0, 10.0, {"r1", "r2"}),
-    ("zones cost nothing", 1.0, 30.0, 10.0, {"r1", "r2"}),
+    ("local replica slightly slower", 4.0, 30.0, 10.0, {"r0"}),
+    ("local replica much slower", 4.0, 80.0, 10.0, {"r1", "r2"}),
+    ("no cost between zones", 1.0, 30.0, 10.0, {"r1", "r2"}),
 ]
 
 
 @pytest.mark.parametrize(
     ("factor", "local_ms", "remote_ms", "names"),
-    [case[1:] for case in ZONES],
-    ids=[case[0] for case in ZONES],
+    [case[1:] for case in ZONE_CASES],
+    ids=[case[0] for case in ZONE_CASES],
 )
-def test_zone_preference_gives_way_to_slowness(factor, local_ms, remote_ms, names):
-    """Bytes between zones are dear, but a slow local replica is dearer."""
+def test_slow_local_replica_overrides_zone_preference(
+    factor, local_ms, remote_ms, names
+):
+    """Traffic between zones is costly, but a slow local replica costs more."""
     router, shard, replicas = make_router(
         other_zone_factor=factor, other_zone_cost_ms=0.0
     )
@@ -239,10 +245,10 @@
         for replica in replicas:
             latency_ms = local_ms if replica.zone == "z0" else remote_ms
             answer(router, replica, latency_ms, 100.0 * i)
-    assert chosen(router, shard, 6_000.0) == names
+    assert chosen_names(router, shard, 6_000.0) == names
 
 
-def test_slow_replica_found_by_one_kind_of_work_is_known_to_others():
+def test_replica_slow_for_one_kind_of_work_is_avoided_by_others():
     router, shard, replicas = make_router()
     for i in range(40):
         for replica in replicas:
@@ -257,5 +263,5 @@
                 router.on_answered(
                     replica, started_ms, ANSWER, started_ms + 10.0, work="check"
                 )
-    assert "r0" not in chosen(router, shard, 39_300.0, work="check")
+    assert "r0" not in chosen_names(router, shard, 39_300.0, work="check")
     assert router.hedge_delay_ms("check") < 15.0 < router.hedge_delay_ms("sweep")
