--- a/chestnuthall/core/overload/__init__.py
+++ b/chestnuthall/core/overload/__init__.py
@@ -1,4 +1,4 @@
-"""Whether an instance has less processor time than its work takes."""
+"""Detection of an instance that gets too little processor time for its load."""
 
 from chestnuthall.core.overload._lag import LagSettings, OverloadDetector
 
--- a/chestnuthall/core/overload/_lag.py
+++ b/chestnuthall/core/overload/_lag.py
@@ -1,15 +1,15 @@
-"""Overload as seen in the lateness of timers."""
+"""Overload detection from the lateness of timers."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LagSettings:
-    """When an instance counts as overloaded; durations in milliseconds.
+    """Thresholds of overload detection; durations in milliseconds.
 
-    The share of samples that are late decides, so that one long turn of the event
-    loop is no overload. The two bounds are apart, so that an instance that has
-    just been relieved does not take its load back at once.
+    The number of late samples decides, so that one long iteration of the event loop
+    does not count as overload. The thresholds for the begin and the end differ, so
+    that an instance does not resume its load immediately after it was relieved.
     """
 
     late_ms: float = 40.0
@@ -19,7 +19,7 @@
 
 
 class OverloadDetector:
-    """Judges an instance by how late its timers fired lately.
+    """Detects overload of an instance from the recent lateness of its timers.
 
     Examples
     --------
@@ -32,15 +32,15 @@
 
     def __init__(self, settings: LagSettings) -> None:
         self._settings = settings
-        self._late: list[bool] = []
+        self._recent_late: list[bool] = []
         self.is_overloaded = False
 
     def observe(self, lag_ms: float) -> bool:
-        """Take one sample; return whether the instance is overloaded."""
+        """Add one sample; return whether the instance is overloaded."""
         settings = self._settings
-        self._late.append(lag_ms >= settings.late_ms)
-        del self._late[: -settings.n_samples]
-        n_late = sum(self._late)
+        self._recent_late.append(lag_ms >= settings.late_ms)
+        del self._recent_late[: -settings.n_samples]
+        n_late = sum(self._recent_late)
         if n_late >= settings.n_late_to_begin:
             self.is_overloaded = True
         elif n_late <= settings.n_late_to_end:
--- a/chestnuthall/core/overload/tests/test_lag.py
+++ b/chestnuthall/core/overload/tests/test_lag.py
@@ -1,5 +1,9 @@
-"""Guards against an overloaded instance that keeps its callers, or a calm one
-that sends them away."""
+"""Guards the detection of overload from timer lag.
+
+The test fails if a persistent lag is not detected, if a single long iteration of the
+event loop or occasional late timers count as overload, or if the overload ends too
+early or not at all.
+"""
 
 import pytest
 
@@ -8,12 +12,12 @@
 # (case, lags in milliseconds, whether overloaded after them)
 CASES = [
     ("no sample", [], False),
-    ("calm", [1.0] * 20, False),
-    ("one long turn of the loop", [1.0] * 8 + [900.0] + [1.0] * 3, False),
+    ("no lag", [1.0] * 20, False),
+    ("one long iteration of the loop", [1.0] * 8 + [900.0] + [1.0] * 3, False),
     ("every second sample is late", [1.0, 100.0] * 10, False),
-    ("steadily late", [100.0] * 6, True),
-    ("late, then better", [100.0] * 8 + [1.0] * 3, True),
-    ("late, then calm", [100.0] * 8 + [1.0] * 7, False),
+    ("persistently late", [100.0] * 6, True),
+    ("late, then mostly recovered", [100.0] * 8 + [1.0] * 3, True),
+    ("late, then recovered", [100.0] * 8 + [1.0] * 7, False),
 ]
 
 
