--- a/chestnuthall/core/admission/_choice.py
+++ b/chestnuthall/core/admission/_choice.py
@@ -6,7 +6,7 @@
 from chestnuthall.core.model import AdmissionRule, ClassStanding
 
 # Service by which a class may be ahead of the least served one and still count
-# as within its share, as a multiple of the fleet-wide limit. Use reports of
+# as within its share, as a multiple of the fleet-wide limit. Usage reports of
 # other instances each cover about a second, and with less slack an urgent class
 # waits until the others have caught up with one report of its own service. Over
 # many seconds the effect on the shares is small.
--- a/chestnuthall/core/admission/_fleet.py
+++ b/chestnuthall/core/admission/_fleet.py
@@ -1,4 +1,4 @@
-"""Fleet-wide use of a group, from reports that may be late or duplicated."""
+"""Fleet-wide usage of a group, from reports that may be late or duplicated."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UseNews:
-    """Use of a group by a class on one instance, in shard calls.
+    """Usage of a group by a class on one instance, in shard calls.
 
     ``served_cost`` counts from the start of the incarnation, which is a wall
     time; the sequence is the milliseconds since then.
@@ -48,7 +48,7 @@
 
 
 class UseLedger:
-    """The latest use report of every other instance, per group and class.
+    """The latest usage report of every other instance, per group and class.
 
     Examples
     --------
--- a/chestnuthall/core/admission/tests/test_capacity.py
+++ b/chestnuthall/core/admission/tests/test_capacity.py
@@ -1,7 +1,7 @@
 """Guards the limit of a group, its average use and its division over instances.
 
 The tests fail if the running cost deviates from the limit on average, if the limit
-collapses or oscillates, if use reports of other instances are counted twice, or if an
+collapses or oscillates, if usage reports of other instances are counted twice, or if an
 instance gets slots that don't match its fraction of the demand.
 """
 
@@ -110,7 +110,7 @@
     return UseNews(instance, incarnation, sequence, "g", "c", served_cost, 5.0)
 
 
-USE_REPORTS = {
+USAGE_REPORTS = {
     "first_report_sets_the_starting_point": ([report(1, 1, 40.0)], [0.0]),
     "later_report_adds_the_difference": (
         [report(1, 1, 40.0), report(1, 2, 70.0)],
@@ -140,9 +140,9 @@
 
 
 @pytest.mark.parametrize(
-    ("reports", "added"), USE_REPORTS.values(), ids=USE_REPORTS.keys()
+    ("reports", "added"), USAGE_REPORTS.values(), ids=USAGE_REPORTS.keys()
 )
-def test_use_report_is_counted_once(reports, added):
+def test_usage_report_is_counted_once(reports, added):
     """Fails if a late, duplicated or reordered report is counted twice."""
     ledger = UseLedger()
     assert [ledger.take(item, 0.0) for item in reports] == added
--- a/chestnuthall/core/routing/_connections.py
+++ b/chestnuthall/core/routing/_connections.py
@@ -1,7 +1,7 @@
-"""An instance's quota of the connections that an upstream accepts."""
+"""An instance's budget of the connections that an upstream accepts."""
 
-# Delay before the quota of an instance that left the membership view is
-# redistributed, since it may only be paused or partitioned from its peers and still
+# Delay before the budget of an instance that left the membership view is
+# redistributed, since it may only be stalled or partitioned from its peers and still
 # have its connections open.
 RAISE_DELAY_MS = 10_000.0
 # Allowance for an instance of a rolling restart that the others don't know of yet.
@@ -64,14 +64,14 @@
         return min(1.0, IDLE_RATIO_MAX * n_connections_max / self.n_instances)
 
     def budget(self, n_connections_max: int) -> int:
-        """Return this instance's quota of an upstream's cap; at least one."""
+        """Return this instance's budget of an upstream's cap; at least one."""
         return max(1, n_connections_max // (self.n_instances + N_INSTANCES_SPARE))
 
     def near_budget(self, n_connections_max: int, n_near: int) -> int | None:
-        """Return this instance's quota for an upstream in its own zone.
+        """Return this instance's budget for an upstream in its own zone.
 
         ``n_near`` is the number of instances in the zone. Return None if the equal
-        quota is sufficient, or if even the instances of the zone would get less than
+        budget is sufficient, or if even the instances of the zone would get less than
         one connection each.
 
         Examples
--- a/chestnuthall/core/routing/_delegation.py
+++ b/chestnuthall/core/routing/_delegation.py
@@ -1,4 +1,4 @@
-"""Delegation of a search on remote shards to a peer near their replicas."""
+"""Delegation of a search on remote shards to a peer in a zone of their replicas."""
 
 from collections import Counter
 from collections.abc import Callable, Sequence
@@ -8,9 +8,9 @@
 # Smallest set that is delegated; a peer's answer for a single shard is as large as
 # the answer of the replica itself.
 N_SHARDS_IN_SET_MIN = 2
-# Fraction of the shards of a set that must have a replica in a zone for the zone to
-# count as near.
-NEARER_RATIO_MIN = 0.8
+# Fraction of the shards of a set that must have a replica in a zone, for the set to be
+# delegated to peers of that zone.
+ZONE_REPLICAS_RATIO_MIN = 0.8
 
 PeersInZones = Callable[[frozenset[str]], tuple[Replica, ...]]
 
@@ -22,8 +22,8 @@
 
     The answers of their replicas then stay within the peer's zone, and only one
     merged answer crosses zones. ``peers_in_zones`` returns the peers in some zones.
-    The shards are returned unchanged if there are no peers, or if no zone is near to
-    most of the shards.
+    The shards are returned unchanged if there are no peers, or if no zone has replicas
+    of most of the shards.
 
     Examples
     --------
@@ -40,7 +40,7 @@
     ]
     if len(remote) < N_SHARDS_IN_SET_MIN:
         return tuple(shards)
-    peers = peers_in_zones(_zones_near(remote))
+    peers = peers_in_zones(_zones_with_replicas(remote))
     if not peers:
         return tuple(shards)
     remote_ids = {shard.shard_id for shard in remote}
@@ -48,11 +48,11 @@
     return (_make_set(remote, peers), *local)
 
 
-def _zones_near(shards: Sequence[Shard]) -> frozenset[str]:
+def _zones_with_replicas(shards: Sequence[Shard]) -> frozenset[str]:
     n_shards_of_zone = Counter(
         zone for shard in shards for zone in {item.zone for item in shard.replicas}
     )
-    n_wanted = NEARER_RATIO_MIN * len(shards)
+    n_wanted = ZONE_REPLICAS_RATIO_MIN * len(shards)
     return frozenset(zone for zone, n in n_shards_of_zone.items() if n >= n_wanted)
 
 
--- a/chestnuthall/core/routing/_replicas.py
+++ b/chestnuthall/core/routing/_replicas.py
@@ -115,5 +115,5 @@
         return now_ms < self.drained_until_ms
 
     def is_avoided(self, now_ms: float) -> bool:
-        """Return whether the replica failed recently and is used as a last resort."""
+        """Return whether the replica failed recently and is penalised or ejected."""
         return now_ms < self.avoided_until_ms
--- a/chestnuthall/core/routing/_router.py
+++ b/chestnuthall/core/routing/_router.py
@@ -45,7 +45,7 @@
     hedge_delay_min_ms: float = 2.0
     hedge_delay_unknown_ms: float = 50.0
     avoid_base_ms: float = 200.0
-    # The longest pause is short: a call to an unavailable replica costs only a
+    # The longest delay is short: a call to an unavailable replica costs only a
     # refused connection, and a recovered one is needed immediately.
     avoid_max_ms: float = 2_000.0
     failure_cost_ms: float = 50.0
--- a/chestnuthall/core/routing/tests/test_delegation.py
+++ b/chestnuthall/core/routing/tests/test_delegation.py
@@ -41,12 +41,12 @@
     ids=[case[0] for case in CASES],
 )
 def test_bundle_far_shards(zones, members, peer_zones):
-    """A set that is near to no zone would add a hop without saving traffic."""
+    """Without replicas in the peer's zone a set would not save traffic."""
     requested_zones = []
 
-    def peers_in_zones(near_zones):
-        requested_zones.append(near_zones)
-        return (Replica("p", "10.0.0.2:80", min(near_zones)),) if near_zones else ()
+    def peers_in_zones(remote_zones):
+        requested_zones.append(remote_zones)
+        return (Replica("p", "10.0.0.2:80", min(remote_zones)),) if remote_zones else ()
 
     shards = make_shards(*zones)
     bundled = bundle_far_shards(shards, "x", peers_in_zones)
