--- a/chestnuthall/core/membership/__init__.py
+++ b/chestnuthall/core/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Which instances there are: probing, suspicion and the spread of news."""
+"""Fleet membership: probes, suspicion and dissemination of updates."""
 
 from chestnuthall.core.membership._events import (
     AddressTaken,
--- a/chestnuthall/core/membership/_spread.py
+++ b/chestnuthall/core/membership/_dissemination.py
@@ -1,10 +1,10 @@
-"""News that is still being passed on, with a bounded number of repeats."""
+"""Queue of membership updates, each sent a bounded number of times."""
 
 from heapq import nsmallest
 
 
-class SpreadQueue:
-    """Names of instances whose news is passed on, least often sent first."""
+class DisseminationQueue:
+    """Names of instances whose records are disseminated, least often sent first."""
 
     def __init__(self) -> None:
         self._n_sent: dict[str, int] = {}
@@ -13,15 +13,18 @@
         return len(self._n_sent)
 
     def add(self, name: str) -> None:
-        """Begin to pass on the news about an instance, or begin again."""
+        """Start or restart the dissemination of an instance's record."""
         self._n_sent[name] = 0
 
     def discard(self, name: str) -> None:
-        """Stop to pass on the news about an instance."""
+        """Stop the dissemination of an instance's record."""
         self._n_sent.pop(name, None)
 
     def take(self, n_max: int, n_transmissions: int) -> list[str]:
-        """Return the names to send now and count them as sent once more."""
+        """Return up to ``n_max`` names to send and count one transmission of each.
+
+        A name is removed after ``n_transmissions`` transmissions.
+        """
         chosen = nsmallest(n_max, self._n_sent, key=self._n_sent.__getitem__)
         for name in chosen:
             self._n_sent[name] += 1
--- a/chestnuthall/core/membership/_events.py
+++ b/chestnuthall/core/membership/_events.py
@@ -1,4 +1,4 @@
-"""Events that the membership takes and actions that it returns."""
+"""Events and actions of the membership state machine."""
 
 from dataclasses import dataclass
 
@@ -37,29 +37,29 @@
 
 @dataclass(frozen=True, slots=True)
 class AddressTaken(MembershipEvent):
-    """An instance of another name answered at the target's address."""
+    """An instance with another name answered at the target's address."""
 
     probe_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class NewsReceived(MembershipEvent):
-    """A digest came from a peer, which proves that the sender runs."""
+    """A digest was received from a peer, which proves that the sender runs."""
 
     sender: MemberNews
-    news: tuple[MemberNews, ...]
+    updates: tuple[MemberNews, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class ListRead(MembershipEvent):
-    """The platform's whole list of entry instances was read."""
+    """The platform's complete list of entry instances was read."""
 
     listed: tuple[ListedInstance, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class LeaveAnnounced(MembershipEvent):
-    """This instance begins to leave."""
+    """This instance starts to leave the fleet."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/chestnuthall/core/membership/_machine.py
+++ b/chestnuthall/core/membership/_machine.py
@@ -4,6 +4,7 @@
 from functools import singledispatchmethod
 from random import Random
 
+from chestnuthall.core.membership._dissemination import DisseminationQueue
 from chestnuthall.core.membership._events import (
     AddressTaken,
     CountsChanged,
@@ -28,13 +29,16 @@
     replaces,
 )
 from chestnuthall.core.membership._settings import MembershipSettings
-from chestnuthall.core.membership._spread import SpreadQueue
 from chestnuthall.core.membership._table import Member, MemberTable
 
 
 @dataclass(slots=True)
-class _RunningProbe:
-    """A probe without an outcome; ``n_indirect`` helpers still have to answer."""
+class _PendingProbe:
+    """A probe without an outcome yet.
+
+    ``n_indirect`` is the number of indirect probes without a result; it is 0
+    while the direct probe is under way.
+    """
 
     name: str
     incarnation: int
@@ -42,11 +46,11 @@
 
 
 class MembershipMachine:
-    """Decides whom to probe, and which instances are there.
+    """Failure detector and membership list of one instance, as in SWIM.
 
-    One random instance is probed per interval. Without an answer, two others
-    probe it too; if they fail as well it is suspected, and removed when it
-    does not answer the suspicion in time.
+    One instance is probed per interval, in random order. If it does not answer,
+    ``n_helpers`` other instances probe it too; if they fail as well it becomes
+    suspected, and is declared dead unless it refutes the suspicion in time.
     """
 
     def __init__(
@@ -56,11 +60,11 @@
         self._settings = settings
         self._random = random
         self._table = MemberTable(random)
-        self._spread = SpreadQueue()
-        self._probes: dict[int, _RunningProbe] = {}
+        self._dissemination = DisseminationQueue()
+        self._probes: dict[int, _PendingProbe] = {}
         self._n_probes = 0
         self._suspects: set[str] = set()
-        self._filler: list[str] = []
+        self._anti_entropy_names: list[str] = []
         self._counts = FleetCounts()
         self._has_left = False
         self._is_superseded = False
@@ -72,45 +76,48 @@
 
     @property
     def own(self) -> MemberNews:
-        """What this instance says about itself."""
+        """The record of this instance, as sent to its peers."""
         return self._own
 
     @property
     def counts(self) -> FleetCounts:
-        """The counts after the last event."""
+        """The fleet counts after the last event."""
         return self._counts
 
     def members(self) -> list[MemberNews]:
-        """Return the other instances that are not known to be dead."""
-        return [member.news for member in self._table.running()]
+        """Return the records of the other instances, without dead ones."""
+        return [member.record for member in self._table.active()]
 
-    def news_of(self, name: str) -> MemberNews | None:
-        """Return what is held about another instance, dead ones included."""
+    def record_of(self, name: str) -> MemberNews | None:
+        """Return the record of another instance, dead or not, or None."""
         member = self._table.get(name)
-        return None if member is None else member.news
+        return None if member is None else member.record
 
     def handle(self, event: MembershipEvent) -> list[MembershipAction]:
-        """Take one event and return what has to be done."""
+        """Apply one event and return the resulting actions."""
         self._actions = []
-        self._note_time(event.now_ms)
-        self._on(event)
+        self._record_event_time(event.now_ms)
+        self._handle_event(event)
         counts = self._table.counts(self._own.state is not MemberState.ALIVE)
         if counts != self._counts:
             self._counts = counts
             self._actions.append(CountsChanged(counts))
         return self._actions
 
-    def _note_time(self, now_ms: float) -> None:
+    def _record_event_time(self, now_ms: float) -> None:
         if self._started_ms is None:
             self._started_ms = now_ms
             self._last_contact_ms = now_ms
             self._next_probe_ms = now_ms
-        elif now_ms - self._last_event_ms > self._settings.pause_ms:
-            self._forgive_pause(now_ms, now_ms - self._last_event_ms)
+        elif now_ms - self._last_event_ms > self._settings.pause_min_ms:
+            self._compensate_pause(now_ms, now_ms - self._last_event_ms)
         self._last_event_ms = now_ms
 
-    def _forgive_pause(self, now_ms: float, paused_ms: float) -> None:
-        """Draw no conclusion from answers that were missed while paused."""
+    def _compensate_pause(self, now_ms: float, paused_ms: float) -> None:
+        """Discard pending probes and extend timers by a pause of this process.
+
+        Answers missed during the pause say nothing about the other instances.
+        """
         self._probes.clear()
         self._last_contact_ms += paused_ms
         self._next_probe_ms = now_ms
@@ -120,26 +127,26 @@
                 member.suspect_until_ms += paused_ms
 
     @singledispatchmethod
-    def _on(self, event: MembershipEvent) -> None:
+    def _handle_event(self, event: MembershipEvent) -> None:
         raise TypeError(f"not a membership event: {type(event).__name__}")
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: Tick) -> None:
-        self._remove_expired(event.now_ms)
+        self._expire_suspicions(event.now_ms)
         if event.now_ms < self._next_probe_ms or self._has_left:
             return
         interval_ms = self._settings.interval_ms(self._counts.n_live)
-        # Jitter keeps instances that started together from probing together.
+        # The jitter prevents instances that started together from probing in step.
         self._next_probe_ms = event.now_ms + interval_ms * self._random.uniform(0.9, 1)
-        self._forget_old(event.now_ms)
+        self._remove_old_dead(event.now_ms)
         self._start_probe()
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: ProbeAnswered) -> None:
         self._probes.pop(event.probe_id, None)
-        self._note_contact(event.now_ms)
+        self._record_contact(event.now_ms)
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: ProbeFailed) -> None:
         probe = self._probes.get(event.probe_id)
         if probe is None:
@@ -151,47 +158,49 @@
         if member is None:
             del self._probes[event.probe_id]
             return
-        has_asked = probe.n_indirect == 1
-        if not has_asked and self._ask_helpers(event.probe_id, probe, member):
+        is_indirect = probe.n_indirect == 1
+        if not is_indirect and self._start_indirect_probes(
+            event.probe_id, probe, member
+        ):
             return
         del self._probes[event.probe_id]
-        if member.news.incarnation == probe.incarnation:
-            self._on_unanswered(member, event.now_ms)
+        if member.record.incarnation == probe.incarnation:
+            self._handle_unanswered_probe(member, event.now_ms)
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: NewsReceived) -> None:
-        self._note_contact(event.now_ms)
+        self._record_contact(event.now_ms)
         self._merge(event.sender, event.now_ms)
-        for news in event.news:
-            self._merge(news, event.now_ms)
+        for update in event.updates:
+            self._merge(update, event.now_ms)
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: AddressTaken) -> None:
         probe = self._probes.pop(event.probe_id, None)
-        self._note_contact(event.now_ms)
+        self._record_contact(event.now_ms)
         member = None if probe is None else self._table.get(probe.name)
         if probe is None or member is None or member.is_dead:
             return
-        if member.news.incarnation == probe.incarnation:
-            self._pass_on(self._set_news(member, MemberState.DEAD, event.now_ms))
+        if member.record.incarnation == probe.incarnation:
+            self._disseminate(self._set_state(member, MemberState.DEAD, event.now_ms))
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: ListRead) -> None:
         listed = {item.name: item for item in event.listed}
         listed.pop(self._own.name, None)
         for member in list(self._table):
-            name = member.news.name
+            name = member.record.name
             member.is_listed = name in listed
             if not member.is_listed:
                 member.leaving_incarnation = None
-                if member.news.incarnation == 0:
+                if member.record.incarnation == 0:
                     self._table.remove(name)
                     continue
-                self._table.count_again(member)
+                self._table.recount(member)
         for item in listed.values():
-            self._note_listed(item)
+            self._merge_listed(item)
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: LeaveAnnounced) -> None:
         self._own = replace(
             self._own,
@@ -199,20 +208,22 @@
             incarnation=self._own.incarnation + 1,
         )
 
-    @_on.register
+    @_handle_event.register
     def _(self, event: LeaveFinished) -> None:
         self._has_left = True
         self._own = replace(self._own, state=MemberState.DEAD)
 
-    def _note_listed(self, item: ListedInstance) -> None:
+    def _merge_listed(self, item: ListedInstance) -> None:
         member = self._table.get(item.name)
         if member is None:
-            news = MemberNews(item.name, item.address, item.zone, MemberState.ALIVE, 0)
-            member = Member(news)
+            record = MemberNews(
+                item.name, item.address, item.zone, MemberState.ALIVE, 0
+            )
+            member = Member(record)
             self._table.add(member)
-        elif member.news.incarnation == 0 and member.news.address != item.address:
-            member.news = replace(
-                member.news, address=item.address, state=MemberState.ALIVE
+        elif member.record.incarnation == 0 and member.record.address != item.address:
+            member.record = replace(
+                member.record, address=item.address, state=MemberState.ALIVE
             )
             member.n_join_failures = 0
         member.is_listed = True
@@ -220,8 +231,8 @@
         if not item.is_leaving:
             member.leaving_incarnation = None
         elif member.leaving_incarnation is None:
-            member.leaving_incarnation = member.news.incarnation
-        self._table.count_again(member)
+            member.leaving_incarnation = member.record.incarnation
+        self._table.recount(member)
 
     # Probing
 
@@ -233,44 +244,49 @@
         if member is None:
             member = self._table.next_target() or self._table.unreachable_target()
         if member is not None:
-            self._probe(member)
+            self._send_probe(member)
 
-    def _probe(self, member: Member) -> None:
+    def _send_probe(self, member: Member) -> None:
         self._n_probes += 1
-        news = member.news
-        self._probes[self._n_probes] = _RunningProbe(news.name, news.incarnation)
-        self._actions.append(Probe(self._n_probes, news.name, member.probe_address))
+        record = member.record
+        self._probes[self._n_probes] = _PendingProbe(record.name, record.incarnation)
+        self._actions.append(Probe(self._n_probes, record.name, member.probe_address))
 
-    def _ask_helpers(self, probe_id: int, probe: _RunningProbe, member: Member) -> bool:
+    def _start_indirect_probes(
+        self, probe_id: int, probe: _PendingProbe, member: Member
+    ) -> bool:
         if member.is_dead or member.is_joining:
             return False
         helpers = self._table.helpers(probe.name, self._settings.n_helpers)
         probe.n_indirect = len(helpers)
         for helper in helpers:
             self._actions.append(
-                ProbeThrough(probe_id, helper.news.address, member.news.address)
+                ProbeThrough(probe_id, helper.record.address, member.record.address)
             )
         return bool(helpers)
 
-    def _on_unanswered(self, member: Member, now_ms: float) -> None:
+    def _handle_unanswered_probe(self, member: Member, now_ms: float) -> None:
         if member.is_dead or self._is_isolated(now_ms):
             return
         if member.is_joining:
             member.n_join_failures += 1
             if member.n_join_failures >= self._settings.n_join_failures_max:
-                self._set_news(member, MemberState.DEAD, now_ms)
-        elif member.news.state is MemberState.LEAVING:
-            self._pass_on(self._set_news(member, MemberState.DEAD, now_ms))
-        elif member.news.state is MemberState.ALIVE:
-            self._pass_on(self._set_news(member, MemberState.SUSPECT, now_ms))
+                self._set_state(member, MemberState.DEAD, now_ms)
+        elif member.record.state is MemberState.LEAVING:
+            self._disseminate(self._set_state(member, MemberState.DEAD, now_ms))
+        elif member.record.state is MemberState.ALIVE:
+            self._disseminate(self._set_state(member, MemberState.SUSPECT, now_ms))
 
     # Time
 
     def _is_isolated(self, now_ms: float) -> bool:
-        """Return whether nobody was heard of for so long that the fault is here."""
+        """Return whether this instance is probably cut off from the fleet.
+
+        That is assumed after ``isolation_ms`` without contact with any peer.
+        """
         return now_ms - self._last_contact_ms > self._settings.isolation_ms
 
-    def _note_contact(self, now_ms: float) -> None:
+    def _record_contact(self, now_ms: float) -> None:
         if self._is_isolated(now_ms):
             until_ms = now_ms + self._settings.suspicion_ms(self._counts.n_live)
             for name in self._suspects:
@@ -279,111 +295,120 @@
                     member.suspect_until_ms = until_ms
         self._last_contact_ms = now_ms
 
-    def _remove_expired(self, now_ms: float) -> None:
+    def _expire_suspicions(self, now_ms: float) -> None:
         is_isolated = self._is_isolated(now_ms)
         for name in tuple(self._suspects):
             member = self._table.get(name)
-            if member is None or member.news.state is not MemberState.SUSPECT:
+            if member is None or member.record.state is not MemberState.SUSPECT:
                 self._suspects.discard(name)
                 continue
-            # While this instance hears nobody, the platform's word counts.
-            is_kept = is_isolated and member.is_listed
-            if now_ms < member.suspect_until_ms or is_kept:
+            # While this instance is isolated, it keeps the suspected instances
+            # that the platform still lists.
+            is_exempt = is_isolated and member.is_listed
+            if now_ms < member.suspect_until_ms or is_exempt:
                 continue
-            if member.is_last_probe_sent:
-                self._pass_on(self._set_news(member, MemberState.DEAD, now_ms))
+            if member.is_final_probe_sent:
+                self._disseminate(self._set_state(member, MemberState.DEAD, now_ms))
             else:
-                self._probe_last_time(member, now_ms)
+                self._send_final_probe(member, now_ms)
 
-    def _probe_last_time(self, member: Member, now_ms: float) -> None:
-        """Tell a suspected instance directly, in case nobody else did in time."""
-        member.is_last_probe_sent = True
+    def _send_final_probe(self, member: Member, now_ms: float) -> None:
+        """Probe a suspected instance once more before it is declared dead.
+
+        The probe informs it of the suspicion, in case no gossip did in time.
+        """
+        member.is_final_probe_sent = True
         member.suspect_until_ms = now_ms + 2.0 * self._settings.probe_timeout_ms
-        self._probe(member)
+        self._send_probe(member)
 
-    def _forget_old(self, now_ms: float) -> None:
-        kept_since_ms = now_ms - self._settings.dead_kept_ms
+    def _remove_old_dead(self, now_ms: float) -> None:
+        oldest_kept_ms = now_ms - self._settings.dead_retention_ms
         for member in list(self._table):
-            is_old = member.is_dead and member.dead_since_ms < kept_since_ms
-            if is_old and not member.is_listed:
-                self._table.remove(member.news.name)
+            is_expired = member.is_dead and member.dead_since_ms < oldest_kept_ms
+            if is_expired and not member.is_listed:
+                self._table.remove(member.record.name)
 
-    # News
+    # Updates
 
-    def _set_news(self, member: Member, state: MemberState, now_ms: float) -> Member:
-        self._apply(member, replace(member.news, state=state), now_ms)
+    def _set_state(self, member: Member, state: MemberState, now_ms: float) -> Member:
+        self._apply_update(member, replace(member.record, state=state), now_ms)
         return member
 
-    def _apply(self, member: Member, news: MemberNews, now_ms: float) -> None:
-        member.news = news
+    def _apply_update(self, member: Member, record: MemberNews, now_ms: float) -> None:
+        member.record = record
         member.n_join_failures = 0
-        self._suspects.discard(news.name)
-        if news.state is MemberState.SUSPECT:
+        self._suspects.discard(record.name)
+        if record.state is MemberState.SUSPECT:
             suspicion_ms = self._settings.suspicion_ms(self._counts.n_live)
             member.suspect_until_ms = now_ms + suspicion_ms
-            member.is_last_probe_sent = False
-            self._suspects.add(news.name)
-        elif news.state is MemberState.DEAD:
+            member.is_final_probe_sent = False
+            self._suspects.add(record.name)
+        elif record.state is MemberState.DEAD:
             member.dead_since_ms = now_ms
-        self._table.count_again(member)
+        self._table.recount(member)
 
-    def _pass_on(self, member: Member) -> None:
-        if member.news.incarnation > 0:
-            self._spread.add(member.news.name)
+    def _disseminate(self, member: Member) -> None:
+        if member.record.incarnation > 0:
+            self._dissemination.add(member.record.name)
 
-    def _merge(self, news: MemberNews, now_ms: float) -> None:
-        if news.name == self._own.name:
-            self._hear_of_self(news, now_ms)
+    def _merge(self, update: MemberNews, now_ms: float) -> None:
+        if update.name == self._own.name:
+            self._merge_own_update(update, now_ms)
             return
-        if news.incarnation <= 0:
+        if update.incarnation <= 0:
             return
-        member = self._table.get(news.name)
+        member = self._table.get(update.name)
         if member is None:
-            member = Member(news)
+            member = Member(update)
             self._table.add(member)
-        elif not replaces(news, member.news):
+        elif not replaces(update, member.record):
             return
-        self._apply(member, news, now_ms)
-        self._pass_on(member)
+        self._apply_update(member, update, now_ms)
+        self._disseminate(member)
 
-    def _hear_of_self(self, news: MemberNews, now_ms: float) -> None:
-        if not replaces(news, self._own) or self._has_left:
+    def _merge_own_update(self, update: MemberNews, now_ms: float) -> None:
+        if not replaces(update, self._own) or self._has_left:
             return
         assert self._started_ms is not None
-        is_newcomer = now_ms - self._started_ms < self._settings.restart_window_ms
-        is_elsewhere = news.address != self._own.address
-        is_running = news.state in (MemberState.ALIVE, MemberState.LEAVING)
-        if is_running and is_elsewhere and not is_newcomer:
+        is_recently_started = (
+            now_ms - self._started_ms < self._settings.restart_window_ms
+        )
+        has_other_address = update.address != self._own.address
+        is_running = update.state in (MemberState.ALIVE, MemberState.LEAVING)
+        if is_running and has_other_address and not is_recently_started:
             if not self._is_superseded:
                 self._is_superseded = True
-                self._actions.append(Superseded(news.address))
+                self._actions.append(Superseded(update.address))
             return
-        self._own = replace(self._own, incarnation=news.incarnation + 1)
+        self._own = replace(self._own, incarnation=update.incarnation + 1)
 
     def take_news(self, recipient_name: str = "") -> list[MemberNews]:
-        """Return the news for one message, counted as passed on once more.
+        """Return the records for one message and count their transmissions.
 
-        The own news comes first, then what is said against the recipient, so
-        that it can answer at once.
+        The own record comes first. A record of the recipient that is not alive
+        is always included, so that the recipient can refute it at once.
         """
         settings = self._settings
-        names = self._spread.take(
+        names = self._dissemination.take(
             settings.n_updates_max, settings.n_transmissions(self._counts.n_live)
         )
         chosen = dict.fromkeys(names)
         recipient = self._table.get(recipient_name)
-        if recipient is not None and recipient.news.state is not MemberState.ALIVE:
+        if recipient is not None and recipient.record.state is not MemberState.ALIVE:
             chosen[recipient_name] = None
-        filler = self._next_filler()
-        if filler is not None:
-            chosen[filler] = None
-        held = (self._table.get(name) for name in chosen)
-        known = [member.news for member in held if member is not None]
-        return [self._own, *(news for news in known if news.incarnation > 0)]
-
-    def _next_filler(self) -> str | None:
-        """Return one name in turn, which repairs news that was lost."""
-        if not self._filler:
-            self._filler = [member.news.name for member in self._table]
-            self._random.shuffle(self._filler)
-        return self._filler.pop() if self._filler else None
+        repaired_name = self._next_anti_entropy_name()
+        if repaired_name is not None:
+            chosen[repaired_name] = None
+        found = (self._table.get(name) for name in chosen)
+        known = [member.record for member in found if member is not None]
+        return [self._own, *(record for record in known if record.incarnation > 0)]
+
+    def _next_anti_entropy_name(self) -> str | None:
+        """Return the next name in turn, or None if no other instance is known.
+
+        Sending every record in turn repairs updates that were lost.
+        """
+        if not self._anti_entropy_names:
+            self._anti_entropy_names = [member.record.name for member in self._table]
+            self._random.shuffle(self._anti_entropy_names)
+        return self._anti_entropy_names.pop() if self._anti_entropy_names else None
--- a/chestnuthall/core/membership/_news.py
+++ b/chestnuthall/core/membership/_news.py
@@ -1,15 +1,15 @@
-"""News about instances, and which of two pieces of news holds."""
+"""Membership records, and which of two records of an instance is valid."""
 
 from dataclasses import dataclass
 from enum import Enum
 
 
 class MemberState(Enum):
-    """What is said about an instance.
+    """State of an instance in a membership record.
 
-    The order of definition is the order of precedence within one incarnation:
-    a suspicion outweighs the instance's own older word, and only the instance
-    itself can answer it, with a higher incarnation.
+    The order of definition is the order of precedence within one incarnation.
+    A suspicion takes precedence over the instance's own announcement, and only
+    the instance itself can refute it, with a higher incarnation.
     """
 
     ALIVE = "alive"
@@ -23,10 +23,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberNews:
-    """What is said about one instance in one of its incarnations.
+    """Record of one instance in one of its incarnations.
 
     Only the instance itself raises its incarnation. Incarnation 0 stands for
-    an entry of the platform's list, which every word of an instance outweighs.
+    an entry of the platform's list, which any record from an instance replaces.
     """
 
     name: str
@@ -36,8 +36,8 @@
     incarnation: int
 
 
-def replaces(offered: MemberNews, held: MemberNews) -> bool:
-    """Return whether offered news about an instance replaces the news held.
+def replaces(offered: MemberNews, current: MemberNews) -> bool:
+    """Return whether an offered record of an instance replaces the current one.
 
     Examples
     --------
@@ -46,14 +46,14 @@
     >>> replaces(suspect, alive), replaces(alive, suspect)
     (True, False)
     """
-    if offered.incarnation != held.incarnation:
-        return offered.incarnation > held.incarnation
-    return _PRECEDENCE[offered.state] > _PRECEDENCE[held.state]
+    if offered.incarnation != current.incarnation:
+        return offered.incarnation > current.incarnation
+    return _PRECEDENCE[offered.state] > _PRECEDENCE[current.state]
 
 
 @dataclass(frozen=True, slots=True)
 class ListedInstance:
-    """An entry instance of the platform's list, which lags."""
+    """An entry instance of the platform's list, which may be out of date."""
 
     name: str
     address: str
@@ -63,11 +63,12 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetCounts:
-    """How many instances there are, this one included.
+    """Numbers of instances by category, including this instance.
 
-    ``n_joining`` are listed by the platform and have not answered yet.
-    ``n_unreachable`` do not answer and are still listed as live: they may be
-    cut off from this instance only, and may still use their connections.
+    ``n_joining`` counts instances that the platform lists and that have not
+    answered yet. ``n_unreachable`` counts dead instances that the platform
+    still lists: they may be cut off from this instance only, and may still use
+    their connections.
     """
 
     n_live: int = 1
@@ -77,5 +78,5 @@
 
     @property
     def n_connection_holders(self) -> int:
-        """Instances that may hold connections to upstreams."""
+        """Number of instances that may hold connections to upstreams."""
         return self.n_live + self.n_joining + self.n_leaving + self.n_unreachable
