--- a/chestnuthall/core/claims/_events.py
+++ b/chestnuthall/core/claims/_events.py
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimRequested:
-    """A request needs its key."""
+    """A request wants to claim its idempotency key."""
 
     wall_ms: float
     claim: KeyClaim
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimWithdrawn:
-    """A request no longer waits; its deadline passed or its caller left."""
+    """A request no longer waits: its deadline passed or it was cancelled."""
 
     wall_ms: float
     claim: KeyClaim
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AbandonRequested:
-    """The holder of a claim will never dispatch it."""
+    """The holder of a claim will never dispatch its request."""
 
     wall_ms: float
     claim: KeyClaim
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PartitionRead:
-    """The store returned the partition; version 0 means that it has none."""
+    """The partition was read; version 0 means that the object does not exist."""
 
     wall_ms: float
     version: int
@@ -50,14 +50,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TurnGranted:
-    """The rate budget allows one write now."""
+    """The write rate budget allows one write now."""
 
     wall_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class WriteSucceeded:
-    """The write took effect and made this version."""
+    """The write took effect and created this version."""
 
     wall_ms: float
     version: int
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteConflicted:
-    """The write had no effect, because the version had moved.
+    """The write had no effect, because the version had changed.
 
     ``jitter_ratio`` in [0, 1) spreads the retries of several writers.
     """
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteLost:
-    """The write may have taken effect, or may still do so."""
+    """The answer was lost; the write may have taken effect or may still do so."""
 
     wall_ms: float
 
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DelayEnded:
-    """The delay that was asked for is over."""
+    """The delay requested with ``Delay`` is over."""
 
     wall_ms: float
 
@@ -118,12 +118,16 @@
 
 @dataclass(frozen=True, slots=True)
 class AwaitTurn:
-    """Wait for the rate budget; answered by ``TurnGranted``."""
+    """Wait for the write rate budget; answered by ``TurnGranted``."""
 
 
 @dataclass(frozen=True, slots=True)
 class WritePartition:
-    """Write the partition on condition that its version is still ``version``."""
+    """Write the partition if its version is still ``version``.
+
+    Answered by ``WriteSucceeded``, ``WriteConflicted``, ``WriteLost`` or
+    ``WriteFailed``.
+    """
 
     version: int
     partition: LedgerPartition
@@ -131,14 +135,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Delay:
-    """Wait; answered by ``DelayEnded``."""
+    """Wait for a duration; answered by ``DelayEnded``."""
 
     duration_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class Settle:
-    """The claim of a token is held, or refused with a failure."""
+    """Complete a claim: it is held if ``failure`` is None, else refused."""
 
     token: str
     failure: Failure | None
--- a/chestnuthall/core/claims/_failures.py
+++ b/chestnuthall/core/claims/_failures.py
@@ -1,4 +1,4 @@
-"""Refusals that the decisions on claims stand for."""
+"""Mapping of claim decisions to failures."""
 
 from chestnuthall.core.claims._ledger import ClaimDecision
 from chestnuthall.core.results import (
@@ -11,7 +11,7 @@
 
 
 def failure_of_decision(decision: ClaimDecision) -> Failure | None:
-    """Return the refusal that a decision stands for, or None for a claim held."""
+    """Return the failure for a decision, or None if the claim is accepted."""
     if decision is ClaimDecision.CLAIMED:
         return None
     if decision is ClaimDecision.HELD_BY_OTHER:
--- a/chestnuthall/core/claims/_ledger.py
+++ b/chestnuthall/core/claims/_ledger.py
@@ -1,20 +1,20 @@
-"""Contents of a ledger partition and the changes made to it."""
+"""Contents of a ledger partition, and how claims are added and removed."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 from enum import Enum
 
-# Upper bounds on the encoded size of a partition, in bytes: the frame of the
-# object, an entry without its key, and a character that JSON has to escape
-# (two escapes of six bytes where it lies outside the basic plane).
-N_FRAME_BYTES = 64
-N_ENTRY_BYTES = 80
-N_ESCAPED_BYTES = 12
+# Upper bounds on the parts of an encoded partition, in bytes: the object without
+# its entries, an entry without its key, and a character that JSON escapes (two
+# escapes of six bytes for a character outside the basic multilingual plane).
+N_OBJECT_OVERHEAD_BYTES = 64
+N_ENTRY_OVERHEAD_BYTES = 80
+N_ESCAPED_CHARACTER_BYTES = 12
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LedgerSettings:
-    """Bounds of the ledger; durations in milliseconds of wall-clock time.
+    """Limits of the ledger; durations are in milliseconds of wall-clock time.
 
     ``n_bytes_max`` stays below the one megabyte that the store accepts.
     """
@@ -50,8 +50,8 @@
     floor_ms: float
     entries: dict[str, ClaimEntry]
 
-    def holds(self, claim: KeyClaim) -> bool:
-        """Return whether this very attempt holds its key."""
+    def is_held_by(self, claim: KeyClaim) -> bool:
+        """Return whether the attempt of this claim holds the key."""
         entry = self.entries.get(claim.idempotency_key)
         return entry is not None and entry.token == claim.token
 
@@ -60,7 +60,7 @@
 
 
 class ClaimDecision(Enum):
-    """What a partition says to a claim."""
+    """Outcome of a claim against the contents of a partition."""
 
     CLAIMED = "claimed"
     HELD_BY_OTHER = "held_by_other"
@@ -75,19 +75,19 @@
     settings: LedgerSettings,
     wall_ms: float,
 ) -> tuple[LedgerPartition, dict[str, ClaimDecision]]:
-    """Return the partition with the claims added, and a decision per token.
+    """Return the partition with the accepted claims, and a decision per token.
 
-    Pruning raises the floor in the same step, so that an instance with a
-    slower clock cannot accept a key that another one has pruned.
+    Pruning raises the floor in the same write, so that an instance whose clock
+    is behind cannot accept a key that another instance has pruned.
     """
-    timely = [
+    issue_times_ms = [
         claim.issued_at_ms
         for claim in claims
         if claim.issued_at_ms <= wall_ms + settings.future_tolerance_ms
     ]
-    pruned = _prune(partition, settings, wall_ms, timely)
+    pruned = _prune(partition, settings, wall_ms, issue_times_ms)
     entries = dict(pruned.entries)
-    n_bytes = N_FRAME_BYTES + sum(entry_size_bytes(key) for key in entries)
+    n_bytes = N_OBJECT_OVERHEAD_BYTES + sum(entry_size_bytes(key) for key in entries)
     decisions: dict[str, ClaimDecision] = {}
     for claim in claims:
         decision = _decide(claim, pruned, entries, settings, wall_ms)
@@ -107,11 +107,11 @@
 def remove_claims(
     partition: LedgerPartition, claims: Iterable[KeyClaim]
 ) -> LedgerPartition:
-    """Return the partition without the entries that these attempts hold.
+    """Return the partition without the entries that these claims hold.
 
-    An entry of another attempt at the same key stays.
+    An entry that another attempt holds for the same key is kept.
     """
-    held = {claim.idempotency_key for claim in claims if partition.holds(claim)}
+    held = {claim.idempotency_key for claim in claims if partition.is_held_by(claim)}
     if not held:
         return partition
     entries = {
@@ -131,12 +131,14 @@
     if key.isascii() and key.isprintable():
         n_escaped = key.count('"') + key.count("\\")
     else:
-        n_escaped = sum(1 for letter in key if not _is_plain(letter))
-    return N_ENTRY_BYTES + len(key) + (N_ESCAPED_BYTES - 1) * n_escaped
+        n_escaped = sum(1 for character in key if not _is_plain(character))
+    return (
+        N_ENTRY_OVERHEAD_BYTES + len(key) + (N_ESCAPED_CHARACTER_BYTES - 1) * n_escaped
+    )
 
 
-def _is_plain(letter: str) -> bool:
-    return " " <= letter <= "~" and letter not in '"\\'
+def _is_plain(character: str) -> bool:
+    return " " <= character <= "~" and character not in '"\\'
 
 
 def _is_full(n_entries: int, n_bytes: int, settings: LedgerSettings) -> bool:
@@ -170,12 +172,12 @@
 ) -> LedgerPartition:
     """Drop the entries older than the retention and raise the floor to match.
 
-    The floor follows the newest issue time that was accepted where that is
-    earlier than the wall clock. Otherwise a single instance with a clock that
-    runs ahead would make every key of the fleet count as expired.
+    The floor is derived from the newest issue time or the wall clock, whichever
+    is earlier. Otherwise one instance whose clock is ahead would make the keys
+    of the whole fleet expire.
     """
-    held_ms = [entry.issued_at_ms for entry in partition.entries.values()]
-    newest_ms = max([*held_ms, *issue_times_ms], default=0.0)
+    entry_times_ms = [entry.issued_at_ms for entry in partition.entries.values()]
+    newest_ms = max([*entry_times_ms, *issue_times_ms], default=0.0)
     floor_ms = max(partition.floor_ms, min(wall_ms, newest_ms) - settings.retention_ms)
     entries = {
         key: entry
--- a/chestnuthall/core/claims/_machine.py
+++ b/chestnuthall/core/claims/_machine.py
@@ -1,9 +1,9 @@
 """State machine of the claim protocol for one ledger partition.
 
-At most one call to the store is under way. Claims that arrive meanwhile wait
-and go into the next write together. Safety rests on the conditional write
-alone: a claim is held only when a write with its token is known to have taken
-effect, and every write is conditional on the version that it was made from.
+At most one store call is in progress. Claims that arrive meanwhile wait and are
+batched into the next write. Safety depends on the conditional write alone: a
+claim is held only when a write with its token is known to have taken effect, and
+every write is conditional on the version that it was derived from.
 """
 
 from enum import Enum
@@ -46,25 +46,27 @@
     RunState,
 )
 
-# Claims in one write. Each adds about a hundred bytes to the object.
-N_GROUP_MAX = 500
-# Abandoned claims that are remembered while the store cannot be written.
-N_ABANDONS_MAX = 2_000
-# Rounds for which abandoned claims alone keep the machine busy.
-N_ABANDON_ROUNDS_MAX = 6
-# Writes in a row that the store may refuse for load before the claims fail.
-N_RATE_LIMITED_MAX = 3
-# Reads in a row that must find the cached version before it is trusted again;
-# a conflict costs a write, which is scarcer than a read.
-N_AGREEING_READS = 3
-# Age up to which a read is written from where other instances write as well.
-FRESH_MS = 10.0
+# Each claim adds about a hundred bytes to the object.
+N_CLAIMS_PER_WRITE_MAX = 500
+# Abandoned claims kept in memory while the store is not writable; the oldest
+# are dropped first.
+N_ABANDONED_MAX = 2_000
+# Retries that are made for abandoned claims alone, with no claim waiting.
+N_ABANDONED_RETRIES_MAX = 6
+# Consecutive writes that the store may rate-limit before the claims fail.
+N_RATE_LIMITED_WRITES_MAX = 3
+# Consecutive reads that must return the cached version before the cache is
+# trusted again. A conflict costs a write, and writes are scarcer than reads.
+N_CONFIRMING_READS = 3
+# Maximum age of a read that a write may be based on while other instances write
+# to the partition as well.
+READ_AGE_MAX_MS = 10.0
 BACKOFF_FIRST_MS = 5.0
 BACKOFF_MAX_MS = 250.0
 
 
 class Phase(Enum):
-    """The call that the machine waits for."""
+    """Phase of the protocol: the action in progress, or idle."""
 
     IDLE = "idle"
     READING = "reading"
@@ -77,8 +79,8 @@
     """Claims of one instance in one partition.
 
     ``cached`` is the last known version with its content; it saves the read
-    before a write. It is trusted until a write from it conflicts, and again
-    once several reads in a row showed that it would have been right.
+    before a write. It is trusted until a write based on it conflicts, and again
+    once ``N_CONFIRMING_READS`` consecutive reads returned the cached version.
     """
 
     def __init__(self, settings: LedgerSettings) -> None:
@@ -87,68 +89,69 @@
         self.cached: tuple[int, LedgerPartition] | None = None
         self.waiting: dict[str, KeyClaim] = {}
         self.writing: dict[str, KeyClaim] = {}
-        self.abandons: dict[str, KeyClaim] = {}
-        self.written_abandons: tuple[str, ...] = ()
+        self.abandoned: dict[str, KeyClaim] = {}
+        self.written_abandoned: tuple[str, ...] = ()
         self.written_partition: LedgerPartition | None = None
-        # Tokens in a write whose answer was lost and that may still land.
-        self.doubtful: set[str] = set()
+        # Tokens of lost writes, which may still take effect.
+        self.unresolved: set[str] = set()
         self.lost_version: int | None = None
-        # Lowest version that the partition can be at; older reads are stale.
+        # Lowest possible current version; a read of an older version is stale.
         self.min_version = 0
-        # Tokens that waited when the last read began. Only they may be refused
-        # by what it returned, since a key may be abandoned between two reads.
-        self.read_for: frozenset[str] = frozenset()
+        # Tokens that were waiting when the last read started. Only these may be
+        # refused by its result, because a key may be abandoned between two reads.
+        self.tokens_at_read: frozenset[str] = frozenset()
         self.needs_read = False
-        # The turn for a write was granted before the read that is under way.
+        # Whether a turn was granted before the read in progress, so that the write
+        # follows without waiting for another turn.
         self.has_turn = False
         self.read_wall_ms = 0.0
         self.is_cache_trusted = True
-        self.n_agreeing_reads = 0
+        self.n_confirming_reads = 0
         self.n_retries = 0
-        self.n_rate_limited = 0
+        self.n_rate_limited_writes = 0
 
     def handle(self, event: ClaimEvent) -> list[ClaimAction]:
-        """Apply one event and return what is to be done."""
+        """Apply one event and return the resulting actions."""
         return _apply(event, self)
 
     def forget_cache(self) -> None:
-        """Drop the cached partition to free memory, if no call is under way."""
+        """Drop the cached partition to free memory, if the machine is idle."""
         if self.phase is Phase.IDLE:
             self.cached = None
 
     def advance(self) -> list[ClaimAction]:
-        """Begin the next read or write if there is work."""
+        """Start the next read or write if there is work."""
         if not self.has_work:
-            return self.rest()
-        if not self.waiting and self.n_retries > N_ABANDON_ROUNDS_MAX:
-            self.abandons.clear()
-            return self.rest()
+            return self.become_idle()
+        if not self.waiting and self.n_retries > N_ABANDONED_RETRIES_MAX:
+            self.abandoned.clear()
+            return self.become_idle()
         if self.cached is None or self.needs_read:
-            return self.begin_read()
+            return self.start_read()
         self.phase = Phase.AWAITING_TURN
         return [AwaitTurn()]
 
     @property
     def has_work(self) -> bool:
-        """Whether anything waits for a read or a write."""
-        return bool(self.waiting or self.abandons)
+        """Whether claims wait to be written or abandoned claims to be removed."""
+        return bool(self.waiting or self.abandoned)
 
-    def rest(self) -> list[ClaimAction]:
-        """Wait for the next request; nothing is retried without one."""
+    def become_idle(self) -> list[ClaimAction]:
+        """Become idle until the next request; nothing is retried before it."""
         self.phase = Phase.IDLE
         self.n_retries = 0
         self.has_turn = False
         return []
 
-    def begin_read(self) -> list[ClaimAction]:
-        """Read the partition on behalf of everything that waits."""
+    def start_read(self) -> list[ClaimAction]:
+        """Read the partition for all waiting claims."""
         self.phase = Phase.READING
         self.needs_read = False
-        self.read_for = frozenset(self.waiting)
+        self.tokens_at_read = frozenset(self.waiting)
         return [ReadPartition()]
 
     def retry(self, delay_ms: float) -> list[ClaimAction]:
-        """Go round again, after a delay unless this is the first retry."""
+        """Read or write again, after a delay unless this is the first retry."""
         self.n_retries += 1
         if self.n_retries == 1:
             return self.advance()
@@ -157,39 +160,39 @@
 
     def backoff_ms(self) -> float:
         """Return the longest delay before the next retry."""
-        doubled: float = BACKOFF_FIRST_MS * 2.0 ** min(self.n_retries, 10)
-        return min(doubled, BACKOFF_MAX_MS)
+        delay_ms: float = BACKOFF_FIRST_MS * 2.0 ** min(self.n_retries, 10)
+        return min(delay_ms, BACKOFF_MAX_MS)
 
-    def take_back_written(self) -> None:
-        """Put the claims of a write that did not succeed first in line."""
+    def requeue_written(self) -> None:
+        """Put the claims of a write that did not succeed before the waiting ones."""
         self.waiting = {**self.writing, **self.waiting}
         self.writing = {}
-        self.written_abandons = ()
+        self.written_abandoned = ()
         self.written_partition = None
 
-    def add_abandon(self, claim: KeyClaim) -> None:
-        """Remember that a claim is to be removed if it is in the partition."""
-        self.abandons[claim.token] = claim
-        while len(self.abandons) > N_ABANDONS_MAX:
-            del self.abandons[next(iter(self.abandons))]
+    def add_abandoned(self, claim: KeyClaim) -> None:
+        """Record that a claim must be removed if the partition contains it."""
+        self.abandoned[claim.token] = claim
+        while len(self.abandoned) > N_ABANDONED_MAX:
+            del self.abandoned[next(iter(self.abandoned))]
 
     def refuse(self, claim: KeyClaim, failure: Failure) -> Settle:
-        """Refuse a claim that waits; it is never dispatched."""
+        """Refuse a waiting claim, whose request is then never dispatched."""
         self.waiting.pop(claim.token, None)
-        if claim.token not in self.doubtful:
+        if claim.token not in self.unresolved:
             return Settle(claim.token, failure)
-        # A write that is still on its way may enter the key.
-        self.add_abandon(claim)
+        # A lost write may still enter the key in the partition.
+        self.add_abandoned(claim)
         if failure.kind.run is RunState.NO:
             failure = CLAIM_UNSETTLED.because(failure.reason)
         return Settle(claim.token, failure)
 
     def refuse_all(self, failure: Failure) -> list[ClaimAction]:
-        """Refuse everything that waits, and rest."""
+        """Refuse all waiting claims and become idle."""
         self.cached = None
         refused = [self.refuse(item, failure) for item in list(self.waiting.values())]
-        self.n_rate_limited = 0
-        return [*refused, *self.rest()]
+        self.n_rate_limited_writes = 0
+        return [*refused, *self.become_idle()]
 
 
 @singledispatch
@@ -209,7 +212,7 @@
 
 @_apply.register
 def _(event: AbandonRequested, claims: PartitionClaims) -> list[ClaimAction]:
-    claims.add_abandon(event.claim)
+    claims.add_abandoned(event.claim)
     return claims.advance() if claims.phase is Phase.IDLE else []
 
 
@@ -217,7 +220,7 @@
 def _(event: ClaimWithdrawn, claims: PartitionClaims) -> list[ClaimAction]:
     token = event.claim.token
     if claims.writing.pop(token, None) is not None:
-        claims.add_abandon(event.claim)
+        claims.add_abandoned(event.claim)
         return [Settle(token, CLAIM_UNSETTLED.because("its write was under way"))]
     if token not in claims.waiting:
         return []
@@ -228,73 +231,76 @@
 @_apply.register
 def _(event: PartitionRead, claims: PartitionClaims) -> list[ClaimAction]:
     if event.version < claims.min_version:
-        # The store may answer a read from the past.
+        # The store may serve stale reads.
         claims.cached = None
         return claims.retry(claims.backoff_ms())
-    _note_read(event, claims)
+    _record_read(event, claims)
     settled = _settle_held(event.partition, claims)
     if claims.lost_version is None:
-        claims.doubtful.clear()
-        _drop_absent_abandons(event.partition, claims)
-    refused = _refuse_read_for(event, claims)
+        claims.unresolved.clear()
+        _drop_absent_abandoned(event.partition, claims)
+    refused = _refuse_from_read(event, claims)
     if claims.has_turn and claims.has_work:
         return [*settled, *refused, *_write(event.wall_ms, claims)]
     return [*settled, *refused, *claims.advance()]
 
 
-def _note_read(event: PartitionRead, claims: PartitionClaims) -> None:
+def _record_read(event: PartitionRead, claims: PartitionClaims) -> None:
     if claims.cached is not None:
         is_same = claims.cached[0] == event.version
-        claims.n_agreeing_reads = claims.n_agreeing_reads + 1 if is_same else 0
-        if claims.n_agreeing_reads >= N_AGREEING_READS:
+        claims.n_confirming_reads = claims.n_confirming_reads + 1 if is_same else 0
+        if claims.n_confirming_reads >= N_CONFIRMING_READS:
             claims.is_cache_trusted = True
     claims.cached = (event.version, event.partition)
     claims.read_wall_ms = event.wall_ms
     claims.min_version = event.version
     if claims.lost_version is not None and event.version > claims.lost_version:
-        # The lost write took effect before this read or never will.
+        # The version has advanced: the lost write took effect before this read, or
+        # its condition no longer holds.
         claims.lost_version = None
 
 
 def _settle_held(
     partition: LedgerPartition, claims: PartitionClaims
 ) -> list[ClaimAction]:
-    held = [item for item in claims.waiting.values() if partition.holds(item)]
+    held = [item for item in claims.waiting.values() if partition.is_held_by(item)]
     for claim in held:
         del claims.waiting[claim.token]
     return [Settle(claim.token, None) for claim in held]
 
 
-def _drop_absent_abandons(partition: LedgerPartition, claims: PartitionClaims) -> None:
-    claims.abandons = {
-        token: item for token, item in claims.abandons.items() if partition.holds(item)
+def _drop_absent_abandoned(partition: LedgerPartition, claims: PartitionClaims) -> None:
+    claims.abandoned = {
+        token: item
+        for token, item in claims.abandoned.items()
+        if partition.is_held_by(item)
     }
 
 
-def _refuse_read_for(
+def _refuse_from_read(
     event: PartitionRead, claims: PartitionClaims
 ) -> list[ClaimAction]:
-    base = remove_claims(event.partition, claims.abandons.values())
-    group = _first_of_each_key(claims)
+    base = remove_claims(event.partition, claims.abandoned.values())
+    group = _next_write_group(claims)
     decisions = add_claims(base, group, claims.settings, event.wall_ms)[1]
     refused: list[ClaimAction] = []
     for claim in group:
         failure = failure_of_decision(decisions[claim.token])
-        if failure is not None and claim.token in claims.read_for:
+        if failure is not None and claim.token in claims.tokens_at_read:
             refused.append(claims.refuse(claim, failure))
     return refused
 
 
-def _first_of_each_key(claims: PartitionClaims) -> tuple[KeyClaim, ...]:
-    """Return what goes into one write.
+def _next_write_group(claims: PartitionClaims) -> tuple[KeyClaim, ...]:
+    """Return the claims of the next write, at most one per key.
 
-    A second claim of the same key waits until the first one's write settled,
-    since nobody holds the key if that write has no effect.
+    A second claim of the same key waits until the write of the first one is
+    resolved, because the key stays free if that write has no effect.
     """
     first: dict[str, KeyClaim] = {}
     for claim in claims.waiting.values():
         first.setdefault(claim.idempotency_key, claim)
-    return tuple(first.values())[:N_GROUP_MAX]
+    return tuple(first.values())[:N_CLAIMS_PER_WRITE_MAX]
 
 
 @_apply.register
@@ -305,32 +311,32 @@
 @_apply.register
 def _(event: TurnGranted, claims: PartitionClaims) -> list[ClaimAction]:
     if not claims.has_work:
-        return claims.rest()
+        return claims.become_idle()
     age_ms = event.wall_ms - claims.read_wall_ms
-    if not claims.is_cache_trusted and age_ms > FRESH_MS:
-        # Another writer has probably moved the version during the wait.
+    if not claims.is_cache_trusted and age_ms > READ_AGE_MAX_MS:
+        # Another writer has probably changed the version during the wait.
         claims.has_turn = True
-        return claims.begin_read()
+        return claims.start_read()
     return _write(event.wall_ms, claims)
 
 
 def _write(wall_ms: float, claims: PartitionClaims) -> list[ClaimAction]:
-    """Write everything that can be claimed, on condition of the cached version."""
+    """Write all claims that can be accepted, conditional on the cached version."""
     assert claims.cached is not None
     claims.has_turn = False
     version, partition = claims.cached
-    base = remove_claims(partition, claims.abandons.values())
-    group = _first_of_each_key(claims)
+    base = remove_claims(partition, claims.abandoned.values())
+    group = _next_write_group(claims)
     changed, decisions = add_claims(base, group, claims.settings, wall_ms)
     accepted = [c for c in group if decisions[c.token] is ClaimDecision.CLAIMED]
     claims.needs_read = len(accepted) < len(group)
     is_same = base is partition and not accepted
     if is_same and claims.lost_version is None:
-        claims.abandons.clear()
+        claims.abandoned.clear()
         return claims.advance()
     for claim in accepted:
         claims.writing[claim.token] = claims.waiting.pop(claim.token)
-    claims.written_abandons = tuple(claims.abandons)
+    claims.written_abandoned = tuple(claims.abandoned)
     claims.written_partition = changed
     claims.phase = Phase.WRITING
     return [WritePartition(version, changed)]
@@ -341,16 +347,17 @@
     assert claims.written_partition is not None
     claims.cached = (event.version, claims.written_partition)
     claims.min_version = event.version
-    # A lost write was conditional on an older version and cannot land any more.
+    # An earlier lost write was conditional on an older version, so it can no
+    # longer take effect.
     claims.lost_version = None
-    claims.doubtful.clear()
+    claims.unresolved.clear()
     claims.n_retries = 0
-    claims.n_rate_limited = 0
+    claims.n_rate_limited_writes = 0
     settled = [Settle(token, None) for token in claims.writing]
     claims.writing = {}
-    for token in claims.written_abandons:
-        claims.abandons.pop(token, None)
-    claims.written_abandons = ()
+    for token in claims.written_abandoned:
+        claims.abandoned.pop(token, None)
+    claims.written_abandoned = ()
     return [*settled, *claims.advance()]
 
 
@@ -360,8 +367,8 @@
     claims.min_version = claims.cached[0] + 1
     claims.cached = None
     claims.is_cache_trusted = False
-    claims.n_agreeing_reads = 0
-    claims.take_back_written()
+    claims.n_confirming_reads = 0
+    claims.requeue_written()
     return claims.retry(claims.backoff_ms() * event.jitter_ratio)
 
 
@@ -369,19 +376,19 @@
 def _(event: WriteLost, claims: PartitionClaims) -> list[ClaimAction]:
     assert claims.cached is not None
     claims.lost_version = claims.cached[0]
-    claims.doubtful.update(claims.writing)
+    claims.unresolved.update(claims.writing)
     claims.cached = None
-    claims.take_back_written()
+    claims.requeue_written()
     return claims.retry(claims.backoff_ms())
 
 
 @_apply.register
 def _(event: WriteFailed, claims: PartitionClaims) -> list[ClaimAction]:
-    claims.take_back_written()
+    claims.requeue_written()
     if event.failure.kind is not RATE_LIMITED:
         return claims.refuse_all(event.failure)
-    claims.n_rate_limited += 1
-    if claims.n_rate_limited > N_RATE_LIMITED_MAX:
+    claims.n_rate_limited_writes += 1
+    if claims.n_rate_limited_writes > N_RATE_LIMITED_WRITES_MAX:
         return claims.refuse_all(event.failure)
     claims.n_retries += 1
     claims.phase = Phase.DELAYING
--- a/chestnuthall/core/claims/_pacing.py
+++ b/chestnuthall/core/claims/_pacing.py
@@ -1,10 +1,11 @@
-"""Limits on the calls that claims make to the object store."""
+"""Rate limiter and circuit breaker for the store calls of claims."""
 
 
 class WriteBudget:
     """Rate budget for writes, shared by all partitions of an instance.
 
-    Turns are spaced evenly once the burst is used up.
+    It allows a burst of ``n_burst`` writes and spaces further writes evenly, by
+    the generic cell rate algorithm.
 
     Examples
     --------
@@ -15,22 +16,23 @@
 
     def __init__(self, n_burst: int) -> None:
         self._n_burst = n_burst
-        self._empty_at_ms = 0.0
+        self._theoretical_arrival_ms = 0.0
 
     def reserve(self, now_ms: float, rate_per_s: float) -> float:
-        """Take the next turn; return the milliseconds until it comes."""
+        """Reserve the next write and return the wait before it in milliseconds."""
         interval_ms = 1000.0 / rate_per_s
         earliest_ms = now_ms - (self._n_burst - 1) * interval_ms
-        turn_ms = max(self._empty_at_ms, earliest_ms)
-        self._empty_at_ms = turn_ms + interval_ms
-        return max(0.0, turn_ms - now_ms)
+        write_ms = max(self._theoretical_arrival_ms, earliest_ms)
+        self._theoretical_arrival_ms = write_ms + interval_ms
+        return max(0.0, write_ms - now_ms)
 
 
 class StoreBreaker:
-    """Fails claims at once while the store is known to be down.
+    """Circuit breaker that fails claims at once while the store is unavailable.
 
-    After a failure calls are held back for a delay that doubles; then a single
-    call probes the store, and the others go on failing until it succeeds.
+    After a failure, calls are blocked for a delay that doubles with each further
+    failure. Then one call probes the store, and the others keep failing until a
+    call succeeds.
     """
 
     def __init__(self, first_ms: float = 100.0, longest_ms: float = 1_000.0) -> None:
@@ -46,7 +48,10 @@
         return self._delay_ms > 0.0
 
     def allows(self, now_ms: float) -> bool:
-        """Return whether a call may be made; the first one probes."""
+        """Return whether a call may be made.
+
+        While the breaker is open, one call per delay is allowed as a probe.
+        """
         if not self.is_open:
             return True
         if now_ms < self._blocked_until_ms:
@@ -56,9 +61,9 @@
         return True
 
     def note_failure(self, now_ms: float) -> None:
-        """Note that the store did not answer.
+        """Record a failed call.
 
-        Calls that were under way together count as one failure.
+        Calls that were in progress together count as one failure.
         """
         if self.is_open and not self._is_probing:
             return
@@ -68,6 +73,6 @@
         self._blocked_until_ms = now_ms + self._delay_ms
 
     def note_success(self) -> None:
-        """Note that the store answered."""
+        """Record that the store answered, which closes the breaker."""
         self._is_probing = False
         self._delay_ms = 0.0
--- a/chestnuthall/core/claims/_partitions.py
+++ b/chestnuthall/core/claims/_partitions.py
@@ -1,10 +1,10 @@
-"""Placement of idempotency keys in ledger partitions."""
+"""Assignment of idempotency keys to ledger partitions."""
 
 from zlib import crc32
 
 
 def partition_name_of(idempotency_key: str, n_partitions: int) -> str:
-    """Return the name of the ledger partition that holds a key.
+    """Return the name of the ledger partition of an idempotency key.
 
     Examples
     --------
--- a/chestnuthall/core/claims/tests/test_fuzz.py
+++ b/chestnuthall/core/claims/tests/test_fuzz.py
@@ -1,8 +1,13 @@
-"""Guards the claim protocol against any order of calls, losses and delays.
+"""Property-based test of the claim protocol: no key is dispatched twice.
 
 Three writers share one partition of a store whose writes may take effect at
-once, later or never, with or without an answer. Holders may be paused between
-any two steps, since each writer acts only when the test chooses it.
+once, later or never, with or without an answer. A holder may be paused between
+any two steps, because a writer advances only when the test selects it. The
+failure occurs if two attempts both conclude that they hold the same key.
+
+By default the examples are derived from the source of ``ClaimProtocol``: a renamed
+method or a changed docstring of the class changes the examples that are run.
+In the class, a write "lands" when it takes effect in the store.
 """
 
 import os
@@ -25,7 +30,8 @@
     retention_ms=100.0, future_tolerance_ms=20.0, n_entries_max=3, n_bytes_max=100_000
 )
 WRITERS = st.integers(0, 2)
-# Few keys, so that writers meet; the rare ones outlive the pruning of others.
+# Few keys, so that writers compete for them; the ones that are drawn rarely are
+# still used after other keys have been pruned.
 KEYS = st.sampled_from([f"key-{letter}" for letter in "aaaabbbcdef"])
 OUTCOMES = ["done", "done", "landed", "late", "never", "failed", "limited"]
 
@@ -70,7 +76,7 @@
     @rule(index=WRITERS, key=KEYS, age_ms=st.sampled_from([0.0, 30.0, 90.0, -15.0]))
     def request(self, index, key, age_ms):
         self.n_tokens += 1
-        # A key is issued once: a resend carries the same issue time.
+        # A key is issued once: a retried request carries the same issue time.
         issued_at_ms = self.issued_at_ms.setdefault(key, self.now_ms - age_ms)
         claim = core.KeyClaim(key, f"t{self.n_tokens}", issued_at_ms)
         self.claims[claim.token] = claim
--- a/chestnuthall/core/claims/tests/test_machine.py
+++ b/chestnuthall/core/claims/tests/test_machine.py
@@ -1,4 +1,8 @@
-"""Guards single steps of the claim protocol that a long run can hide."""
+"""Table tests of single steps of the claim protocol.
+
+They guard against superfluous or missing store calls and wrong refusals, which
+later steps of a longer run would repair and so hide.
+"""
 
 import pytest
 
@@ -9,36 +13,40 @@
 A = core.KeyClaim("key-a", "token-a", 9_900.0)
 A2 = core.KeyClaim("key-a", "token-a2", 9_900.0)
 B = core.KeyClaim("key-b", "token-b", 9_900.0)
-DOWN = STORE_UNAVAILABLE.because("down")
-BUSY = RATE_LIMITED.because("busy")
-HELD_A = core.LedgerPartition(0.0, {"key-a": core.ClaimEntry("token-a", 9_900.0)})
-OTHER = core.ClaimEntry("other", 9_900.0)
-HELD_BOTH = core.LedgerPartition(0.0, {"key-a": OTHER, "key-b": OTHER})
+STORE_FAILURE = STORE_UNAVAILABLE.because("unavailable")
+RATE_LIMIT_FAILURE = RATE_LIMITED.because("rate limited")
+PARTITION_WITH_A = core.LedgerPartition(
+    0.0, {"key-a": core.ClaimEntry("token-a", 9_900.0)}
+)
+OTHER_ENTRY = core.ClaimEntry("other", 9_900.0)
+PARTITION_WITH_OTHERS = core.LedgerPartition(
+    0.0, {"key-a": OTHER_ENTRY, "key-b": OTHER_ENTRY}
+)
 
 EVENTS = {
-    "ask": core.ClaimRequested(WALL_MS, A),
-    "ask-again": core.ClaimRequested(WALL_MS, A2),
-    "ask-b": core.ClaimRequested(WALL_MS, B),
+    "request": core.ClaimRequested(WALL_MS, A),
+    "request-again": core.ClaimRequested(WALL_MS, A2),
+    "request-b": core.ClaimRequested(WALL_MS, B),
     "withdraw": core.ClaimWithdrawn(WALL_MS, A),
     "abandon": core.AbandonRequested(WALL_MS, A),
     "abandon-other": core.AbandonRequested(WALL_MS, A2),
     "read-empty": core.PartitionRead(WALL_MS, 0, core.EMPTY_PARTITION),
-    "read-a": core.PartitionRead(WALL_MS, 1, HELD_A),
-    "read-both": core.PartitionRead(WALL_MS, 1, HELD_BOTH),
-    "read-failed": core.ReadFailed(WALL_MS, DOWN),
+    "read-a": core.PartitionRead(WALL_MS, 1, PARTITION_WITH_A),
+    "read-both": core.PartitionRead(WALL_MS, 1, PARTITION_WITH_OTHERS),
+    "read-failed": core.ReadFailed(WALL_MS, STORE_FAILURE),
     "turn": core.TurnGranted(WALL_MS),
     "late-turn": core.TurnGranted(WALL_MS + 50.0),
     "written": core.WriteSucceeded(WALL_MS, 1),
     "conflict": core.WriteConflicted(WALL_MS, 0.5),
     "lost": core.WriteLost(WALL_MS),
-    "refused": core.WriteFailed(WALL_MS, DOWN),
-    "limited": core.WriteFailed(WALL_MS, BUSY),
-    "waited": core.DelayEnded(WALL_MS),
+    "refused": core.WriteFailed(WALL_MS, STORE_FAILURE),
+    "limited": core.WriteFailed(WALL_MS, RATE_LIMIT_FAILURE),
+    "delay-ended": core.DelayEnded(WALL_MS),
 }
 
 
-def names_of(actions):
-    """Return the actions as short texts, settled claims with their result."""
+def describe(actions):
+    """Return the actions as short texts, completed claims with their result."""
     names = []
     for action in actions:
         name = type(action).__name__
@@ -51,54 +59,63 @@
     return names
 
 
-WRITE = "ask read-empty turn"
-HOLD = f"{WRITE} written"
+WRITE = "request read-empty turn"
+CLAIM = f"{WRITE} written"
 CASES = {
-    "claim": (HOLD, ["HELD"]),
-    "cache-saves-read": (f"{HOLD} ask-b", ["AwaitTurn"]),
+    "claim": (CLAIM, ["HELD"]),
+    "cache-saves-read": (f"{CLAIM} request-b", ["AwaitTurn"]),
     "no-cache-after-conflict": (f"{WRITE} conflict", ["ReadPartition"]),
-    "grouped-with-next-write": (f"{WRITE} ask-b", []),
-    "lost-and-landed": (f"{WRITE} lost read-a", ["HELD"]),
-    "lost-and-unmoved": (f"{WRITE} lost read-empty turn", ["write 0: key-a"]),
-    "lost-then-store-down": (f"{WRITE} lost read-failed", ["CLAIM_UNSETTLED"]),
-    "refused-then-store-down": (f"{WRITE} refused", ["STORE_UNAVAILABLE"]),
-    "withdrawn-before-write": ("ask read-empty withdraw", ["DEADLINE_PASSED"]),
-    "withdrawn-after-loss": (f"{WRITE} lost withdraw", ["CLAIM_UNSETTLED"]),
-    "withdrawn-is-barred": (f"{WRITE} lost withdraw read-empty turn", ["write 0: "]),
-    "same-key-waits": ("ask ask-again read-empty turn", ["write 0: key-a"]),
-    "same-key-refused": (f"{HOLD} ask-again turn read-a", ["KEY_ALREADY_CLAIMED"]),
-    "read-refuses-what-it-was-for": (
-        "ask ask-b read-both",
+    "batched-into-next-write": (f"{WRITE} request-b", []),
+    "lost-write-took-effect": (f"{WRITE} lost read-a", ["HELD"]),
+    "lost-write-not-applied-yet": (f"{WRITE} lost read-empty turn", ["write 0: key-a"]),
+    "lost-then-store-unavailable": (f"{WRITE} lost read-failed", ["CLAIM_UNSETTLED"]),
+    "write-failed-store-unavailable": (f"{WRITE} refused", ["STORE_UNAVAILABLE"]),
+    "withdrawn-before-write": ("request read-empty withdraw", ["DEADLINE_PASSED"]),
+    "withdrawn-after-lost-write": (f"{WRITE} lost withdraw", ["CLAIM_UNSETTLED"]),
+    "withdrawn-after-loss-is-not-written": (
+        f"{WRITE} lost withdraw read-empty turn",
+        ["write 0: "],
+    ),
+    "same-key-waits": ("request request-again read-empty turn", ["write 0: key-a"]),
+    "same-key-refused": (f"{CLAIM} request-again turn read-a", ["KEY_ALREADY_CLAIMED"]),
+    "read-refuses-claims-from-before-it": (
+        "request request-b read-both",
         ["KEY_ALREADY_CLAIMED", "AwaitTurn"],
     ),
     "contended-cache-not-trusted": (
-        f"{WRITE} conflict read-a ask-b",
+        f"{WRITE} conflict read-a request-b",
         ["ReadPartition"],
     ),
     "contended-read-again": (
         f"{WRITE} conflict read-empty late-turn",
         ["ReadPartition"],
     ),
-    "cached-refusal-reads-first": (f"{HOLD} ask-again turn", ["ReadPartition"]),
-    "abandon-then-claim": (f"{HOLD} abandon ask-again turn", ["write 1: key-a"]),
-    "abandon-of-another-attempt": (f"{HOLD} abandon-other turn", []),
-    "older-read-is-stale": (f"{HOLD} ask-again turn read-empty", ["ReadPartition"]),
+    "refusal-from-cache-reads-first": (
+        f"{CLAIM} request-again turn",
+        ["ReadPartition"],
+    ),
+    "abandon-then-claim": (f"{CLAIM} abandon request-again turn", ["write 1: key-a"]),
+    "abandon-of-another-attempt": (f"{CLAIM} abandon-other turn", []),
+    "older-read-is-stale": (
+        f"{CLAIM} request-again turn read-empty",
+        ["ReadPartition"],
+    ),
     "rate-limited-waits": (f"{WRITE} limited", ["Delay"]),
     "rate-limited-too-often": (
-        WRITE + " limited waited turn" * 3 + " limited",
+        WRITE + " limited delay-ended turn" * 3 + " limited",
         ["RATE_LIMITED"],
     ),
-    "second-loss-waits": (f"{WRITE} lost read-empty turn lost", ["Delay"]),
+    "second-lost-write-waits": (f"{WRITE} lost read-empty turn lost", ["Delay"]),
 }
 
 
-@pytest.mark.parametrize(("text", "expected"), CASES.values(), ids=CASES.keys())
-def test_last_actions(text, expected):
-    """Each step must ask for exactly the calls that it needs."""
+@pytest.mark.parametrize(("event_names", "expected"), CASES.values(), ids=CASES.keys())
+def test_actions_of_last_event(event_names, expected):
+    """The last event must result in exactly the store calls that it requires."""
     claims = core.PartitionClaims(core.LedgerSettings())
-    for name in text.split():
+    for name in event_names.split():
         actions = claims.handle(EVENTS[name])
-    assert names_of(actions)[: len(expected) or None] == expected
+    assert describe(actions)[: len(expected) or None] == expected
 
 
 Decision = core.ClaimDecision
@@ -108,17 +125,19 @@
     ("claim", "wall_ms", "floor_ms", "decision"),
     [
         pytest.param(B, 10_000.0, 0.0, Decision.CLAIMED, id="new"),
-        pytest.param(A, 10_000.0, 0.0, Decision.CLAIMED, id="own"),
-        pytest.param(A2, 10_000.0, 0.0, Decision.HELD_BY_OTHER, id="held"),
+        pytest.param(A, 10_000.0, 0.0, Decision.CLAIMED, id="same-attempt"),
+        pytest.param(A2, 10_000.0, 0.0, Decision.HELD_BY_OTHER, id="other-attempt"),
         pytest.param(B, 10_000.0, 9_900.0, Decision.EXPIRED, id="at-floor"),
-        pytest.param(B, -60_000.0, 0.0, Decision.ISSUED_IN_FUTURE, id="future"),
+        pytest.param(
+            B, -60_000.0, 0.0, Decision.ISSUED_IN_FUTURE, id="issued-in-future"
+        ),
         pytest.param(B, 9e9, 0.0, Decision.CLAIMED, id="clock-far-ahead"),
     ],
 )
-def test_decisions(claim, wall_ms, floor_ms, decision):
-    """A key is decided by floor, holder and issue time, not by one clock alone."""
+def test_claim_decision(claim, wall_ms, floor_ms, decision):
+    """The floor, the holder and the issue time decide, not one wall clock alone."""
     partition = core.LedgerPartition(
-        floor_ms, HELD_A.entries if floor_ms == 0.0 else {}
+        floor_ms, PARTITION_WITH_A.entries if floor_ms == 0.0 else {}
     )
     changed, decisions = core.add_claims(
         partition, (claim,), core.LedgerSettings(), wall_ms
@@ -127,8 +146,8 @@
     assert changed.floor_ms >= floor_ms
 
 
-def test_breaker_probes_with_one_call():
-    """While the store is down only one call an interval may be made."""
+def test_open_breaker_allows_one_probe_per_delay():
+    """While the store is unavailable, one call per delay may be made."""
     breaker = core.StoreBreaker(first_ms=100.0, longest_ms=400.0)
     breaker.note_failure(0.0)
     allowed = []
