--- a/chestnuthall/core/configuration/__init__.py
+++ b/chestnuthall/core/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""Configuration revisions that only go forward, promotion and history."""
+"""Configuration revisions that never revert, their promotion and history."""
 
 from chestnuthall.core.configuration._differences import (
     Difference,
--- a/chestnuthall/core/configuration/_differences.py
+++ b/chestnuthall/core/configuration/_differences.py
@@ -8,14 +8,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """A field that differs; None stands for a field that is not there."""
+    """A field that differs; None stands for an absent field."""
 
     path: str
     old: str | None
     new: str | None
 
     def __str__(self) -> str:
-        """Return the difference as one line."""
+        """Return the difference as one line of text."""
         if self.old is None:
             return f"{self.path}: added, {self.new}"
         if self.new is None:
@@ -26,12 +26,12 @@
 def differences(
     old: EnvironmentDocument | None, new: EnvironmentDocument
 ) -> tuple[Difference, ...]:
-    """Return the fields in which two documents differ, by path.
+    """Return the fields in which two documents differ, sorted by path.
 
-    Comments and layout do not count; what a document means does.
+    Parsed documents are compared, so comments and formatting are ignored.
     """
-    before = {} if old is None else dict(_fields(old))
-    after = dict(_fields(new))
+    before = {} if old is None else dict(_flatten_document(old))
+    after = dict(_flatten_document(new))
     return tuple(
         Difference(path, before.get(path), after.get(path))
         for path in sorted({*before, *after})
@@ -39,7 +39,7 @@
     )
 
 
-def _fields(document: EnvironmentDocument) -> Iterator[tuple[str, str]]:
+def _flatten_document(document: EnvironmentDocument) -> Iterator[tuple[str, str]]:
     for caller_class in document.classes:
         yield from _flatten(f"classes.{caller_class.name}", asdict(caller_class))
     for group in document.groups:
--- a/chestnuthall/core/configuration/_follower.py
+++ b/chestnuthall/core/configuration/_follower.py
@@ -1,37 +1,38 @@
-"""How an instance follows its environment's object in the store.
+"""State machine that follows an object in the store.
 
-A watcher waits for changes of the object. Any other instance learns of them
-from peers, and reads the object itself only when no peer could confirm for
-some time that it is up to date.
+A watcher waits for changes of the object. Any other instance receives them
+from peers, and reads the object itself only when no peer has confirmed for
+some time that its copy is up to date.
 """
 
 from dataclasses import dataclass
 from functools import singledispatch
 from typing import TypeAlias
 
-# All durations in milliseconds. A watch that hangs, the pause after it and the
-# next call have to end within the 8 s in which a configuration is in force.
+# A hanging watch, the delay after it and the next call must together end within
+# the 8 s in which a new configuration has to come into force.
 WATCH_TIMEOUT_MS = 4_000.0
 CONFIRMATION_AGE_MAX_MS = 4_500.0
-PAUSE_FIRST_MS = 250.0
-PAUSE_MAX_MS = 1_000.0
-# A shorter remainder may be lost in rounding, and would be paused for again.
-PAUSE_MIN_MS = 1.0
-# Least time from the start of one watch to that of the next.
+DELAY_FIRST_MS = 250.0
+DELAY_MAX_MS = 1_000.0
+# A shorter delay may be lost in rounding, and another delay would follow.
+DELAY_MIN_MS = 1.0
+# Minimum time between the starts of two consecutive watches.
 WATCH_INTERVAL_MIN_MS = 200.0
-# So many changes at once belong to a burst, such as the start of a fleet. The next
-# watch waits until more of it can be read in one call.
-N_CHANGES_OF_BURST = 4
-BURST_PAUSE_MS = 700.0
+# Number of changes in one watch from which they count as a burst, such as the
+# start of a fleet. The next watch is delayed, so that it returns more of the burst.
+N_BURST_CHANGES_MIN = 4
+BURST_DELAY_MS = 700.0
 
 
 def safe_watch_timeout_ms(settle_ms: float) -> float:
-    """Return the longest watch after which a change is still in force in time.
+    """Return the longest watch time-out with which changes come into force in time.
 
-    A store that goes silent keeps the connection of a watch alive, and the watch
-    finds nothing after the store's return. What changes from then on has to be in
-    force once the store has been stable for ``settle_ms``. A watch begun as the
-    outage began ends in time if the outage takes as long as the reads after it.
+    When the store becomes unresponsive, the connection of a watch stays open, and
+    the watch returns nothing even after the store has recovered. Changes made after
+    the recovery must be in force once the store has been stable for ``settle_ms``.
+    A watch that started with the outage ends early enough if the outage lasts at
+    least as long as the reads that follow the watch.
 
     Examples
     --------
@@ -43,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Loaded:
-    """The object was read; version 0 means that there is none."""
+    """The object was read; version 0 means that it does not exist."""
 
     now_ms: float
     version: int
@@ -51,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEnded:
-    """A watch ended with the version where the next one starts."""
+    """A watch ended; ``version`` is where the next watch starts."""
 
     now_ms: float
     version: int
@@ -61,24 +62,24 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchTrimmed:
-    """The store no longer has the changes after the version asked for."""
+    """The store no longer has the changes after the requested version."""
 
     now_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class StoreFailed:
-    """The store did not answer."""
+    """A call to the store failed."""
 
     now_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class PauseEnded:
-    """The pause that was asked for is over.
+    """The delay requested with ``Pause`` is over.
 
-    ``confirmed_ms`` is the time up to which the store, or a peer that asked
-    it, confirmed that the configuration in force is the newest.
+    ``confirmed_ms`` is the last time at which the object was known to be up to
+    date, as confirmed by the store or by a peer that queried the store.
     """
 
     now_ms: float
@@ -103,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Pause:
-    """Sleep before the next step."""
+    """Wait before the next step; ends with ``PauseEnded``."""
 
     duration_ms: float
 
@@ -112,17 +113,17 @@
 
 
 class StoreFollower:
-    """Decides the next call to the store; one call or pause at a time.
+    """Decides the next step: one store call or delay at a time.
 
-    No two calls follow each other without a pause, except a watch after a
-    read and a watch after one that waited for its interval.
+    Consecutive calls are separated by a delay, except a watch that follows a read
+    or a watch that lasted at least ``WATCH_INTERVAL_MIN_MS``.
     """
 
     def __init__(self, watch_timeout_ms: float = WATCH_TIMEOUT_MS) -> None:
         self.watch_timeout_ms = watch_timeout_ms
         self.version: int | None = None
         self.watch_started_ms = 0.0
-        self.loaded_ms = float("-inf")
+        self.last_load_ms = float("-inf")
         self.n_failures = 0
 
     def handle(self, event: FollowEvent) -> FollowAction:
@@ -130,13 +131,13 @@
         return _apply(event, self)
 
     def pause(self) -> Pause:
-        """Return a pause that grows with the failures in a row."""
+        """Return a delay that grows with the number of consecutive failures."""
         self.n_failures += 1
-        doubled: float = PAUSE_FIRST_MS * 2.0 ** min(self.n_failures - 1, 8)
-        return Pause(min(doubled, PAUSE_MAX_MS))
+        duration_ms: float = DELAY_FIRST_MS * 2.0 ** min(self.n_failures - 1, 8)
+        return Pause(min(duration_ms, DELAY_MAX_MS))
 
     def watch(self, now_ms: float) -> Watch:
-        """Watch from the version that is known, so that no change is missed."""
+        """Return a watch from the known version, so that no change is missed."""
         self.watch_started_ms = now_ms
         return Watch(self.version or 0)
 
@@ -149,8 +150,8 @@
 @_apply.register
 def _(event: Loaded, follower: StoreFollower) -> FollowAction:
     follower.version = event.version
-    follower.loaded_ms = event.now_ms
-    # The role is looked up when the pause ends.
+    follower.last_load_ms = event.now_ms
+    # Whether the instance is a watcher is known when the delay ends.
     return Pause(0.0)
 
 
@@ -159,11 +160,11 @@
     follower.version = max(event.version, follower.version or 0)
     elapsed_ms = event.now_ms - follower.watch_started_ms
     if event.is_empty and elapsed_ms < follower.watch_timeout_ms / 2.0:
-        # A store that ends watches early must not be asked in a tight loop.
+        # A store that ends watches early must not be called in a tight loop.
         return follower.pause()
     follower.n_failures = 0
-    if event.n_changes >= N_CHANGES_OF_BURST:
-        return Pause(BURST_PAUSE_MS)
+    if event.n_changes >= N_BURST_CHANGES_MIN:
+        return Pause(BURST_DELAY_MS)
     return Pause(max(0.0, WATCH_INTERVAL_MIN_MS - elapsed_ms))
 
 
@@ -175,8 +176,8 @@
 
 @_apply.register
 def _(event: StoreFailed, follower: StoreFollower) -> FollowAction:
-    # A read ends soon, whatever the store does; another watch would hang for its
-    # whole time in a store that has gone silent.
+    # A read ends soon in any case, whereas a watch of an unresponsive store would
+    # hang until its time-out.
     follower.version = None
     return follower.pause()
 
@@ -187,14 +188,14 @@
         return Load()
     if event.is_watcher:
         return follower.watch(event.now_ms)
-    # A read that confirmed nothing, being stale or of no object, is not
+    # A read that confirmed nothing, because it was stale or found no object, is not
     # repeated at once.
     due_ms = max(
         event.confirmed_ms + CONFIRMATION_AGE_MAX_MS,
-        follower.loaded_ms + PAUSE_MAX_MS,
+        follower.last_load_ms + DELAY_MAX_MS,
     )
     if event.now_ms < due_ms:
-        return Pause(max(due_ms - event.now_ms, PAUSE_MIN_MS))
-    # Changes that were not watched are read as the object's last state.
+        return Pause(max(due_ms - event.now_ms, DELAY_MIN_MS))
+    # Changes that were not watched are covered by the object's current state.
     follower.version = None
     return Load()
--- a/chestnuthall/core/configuration/_leaders.py
+++ b/chestnuthall/core/configuration/_leaders.py
@@ -1,50 +1,53 @@
-"""Which instance of a zone another one follows instead of the store."""
+"""Choice of the instance of a zone that another one follows instead of the store."""
 
 from collections.abc import Collection
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-# With fewer instances in a zone, the more frequent watches of a leader cost more
-# than the watches that it saves.
+# In a smaller zone the more frequent watches of a leader cost more than the
+# watches of its followers would.
 N_INSTANCES_MIN = 5
-# Leaders that an instance asks in turn.
+# Number of leaders that an instance tries in order.
 N_LEADERS_MAX = 3
-# How long a leader that failed is passed over, or the store by one that leads.
+# How long a failed leader is skipped, or the store after a failed call to it.
 AVOID_MS = 3_000.0
-# The same for one that answers but has no news; it may turn to the store next.
-AVOID_WITHOUT_NEWS_MS = 500.0
-# Leaves the next leader time to turn to the store itself after its own has failed.
+# The same for a leader that answered but is not ready; it may watch the store soon.
+AVOID_NOT_READY_MS = 500.0
+# Delay per position before the next leader is tried. It gives that leader time to
+# switch to the store after its own leader has failed.
 STAGGER_MS = 20.0
 N_STAGGERED_MAX = 8
-# A leader asks the store so often, as a part of the time in which news has to arrive.
-WATCH_RATIO = 0.28
-# Age at which its news is too old to be followed, likewise. It covers a watch and
-# the pause after a burst of changes.
+# Time-out of a leader's watches, as a fraction of the time within which a change
+# must come into force.
+WATCH_TIMEOUT_RATIO = 0.28
+# Maximum age of a leader's last confirmation, as a fraction of the same time. It
+# covers a watch and the delay after a burst of changes.
 AGE_RATIO_MAX = 0.46
 
 
 @dataclass(frozen=True, slots=True)
 class FeedTiming:
-    """How often a leader asks the store, and how old its news may be.
+    """Length of a leader's watches and maximum age of its confirmations.
 
-    A follower that learns of a change from its leader, or that its leader has no
-    news, has the rest of ``in_force_ms`` to act on it or to read the store.
+    A change must come into force within ``in_force_ms``. A follower that receives a
+    change from its leader, or finds that its leader is out of date, has the rest of
+    that time to apply the change or to read the store.
     """
 
     in_force_ms: float
 
     @property
     def watch_timeout_ms(self) -> float:
-        """Length of a leader's watches."""
-        return WATCH_RATIO * self.in_force_ms
+        """Time-out of a leader's watches."""
+        return WATCH_TIMEOUT_RATIO * self.in_force_ms
 
     @property
     def age_max_ms(self) -> float:
-        """Age of the last confirmation from which on a leader is not followed."""
+        """Maximum age of the last confirmation of a leader that is followed."""
         return AGE_RATIO_MAX * self.in_force_ms
 
 
-def _rank(name: str) -> bytes:
+def _order_key(name: str) -> bytes:
     return blake2b(name.encode(), digest_size=8).digest()
 
 
@@ -52,9 +55,10 @@
 class LeaderChoice:
     """Orders the instances of a zone, so that each follows earlier ones only.
 
-    All instances with the same view agree without a message. The first one follows
-    none, and another one follows the first that is not passed over. Only what comes
-    from the store is handed on, so that none follows itself over others.
+    All instances with the same view of the zone agree on the order without
+    communication. The first one follows none, and each other one follows the first
+    that is not skipped. Only data from the store is forwarded, so that no instance
+    follows itself through others.
 
     Examples
     --------
@@ -72,34 +76,35 @@
     _store_avoided_until_ms: float = float("-inf")
 
     def leader(self, names: Collection[str], now_ms: float) -> str | None:
-        """Return the instance to follow now; None is the store."""
-        everyone = {*names, self.own_name}
-        if len(everyone) < N_INSTANCES_MIN:
+        """Return the name of the instance to follow now, or None for the store."""
+        all_names = {*names, self.own_name}
+        if len(all_names) < N_INSTANCES_MIN:
             self.is_shared = False
             return None
-        ordered = sorted(everyone, key=_rank)
+        ordered = sorted(all_names, key=_order_key)
         self.position = ordered.index(self.own_name)
         self.is_shared = True
-        n_asked = min(self.position, N_LEADERS_MAX)
+        n_candidates = min(self.position, N_LEADERS_MAX)
         if now_ms < self._store_avoided_until_ms:
-            # One that the store does not serve follows a later one that it serves.
-            n_asked = N_LEADERS_MAX
-        for name in ordered[:n_asked]:
+            # An instance that the store does not serve may follow a later instance that
+            # the store does serve.
+            n_candidates = N_LEADERS_MAX
+        for name in ordered[:n_candidates]:
             is_other = name != self.own_name
             if is_other and now_ms >= self._avoided_until_ms.get(name, 0.0):
                 return name
         return None
 
     def avoid(self, name: str, now_ms: float, has_answered: bool = False) -> None:
-        """Pass over an instance that gave no news for a while."""
-        avoid_ms = AVOID_WITHOUT_NEWS_MS if has_answered else AVOID_MS
+        """Skip a leader for a while, for less time if it has answered."""
+        avoid_ms = AVOID_NOT_READY_MS if has_answered else AVOID_MS
         self._avoided_until_ms[name] = now_ms + avoid_ms
 
     def avoid_store(self, now_ms: float) -> None:
-        """Prefer any leader to the store for a while, which did not answer."""
+        """Prefer any leader to the store for a while after a failed store call."""
         self._store_avoided_until_ms = now_ms + AVOID_MS
 
     @property
     def stagger_ms(self) -> float:
-        """Return how long to wait before the next leader is asked."""
+        """Time to wait before the next leader is tried."""
         return STAGGER_MS * min(self.position, N_STAGGERED_MAX)
--- a/chestnuthall/core/configuration/_promotion.py
+++ b/chestnuthall/core/configuration/_promotion.py
@@ -1,4 +1,4 @@
-"""Evidence from trial, and whether it allows a promotion to production."""
+"""Evidence from trial, and the decision whether it permits a promotion."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class InstanceEvidence:
-    """What one live instance of trial reports.
+    """Status report of one live instance of trial.
 
     ``n_refused_by_code`` counts refusals since the revision came into force.
     """
@@ -23,8 +23,9 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TrialEvidence:
-    """What trial shows about the revision that is in force there.
+    """Evidence about the revision that is in force in trial.
 
+    ``silent_names`` are the instances without a status report.
     ``fast_burn_classes`` are the classes whose error budget burns fast.
     """
 
@@ -43,12 +44,12 @@
 
     @property
     def n_requests(self) -> int:
-        """Requests that were served under the document."""
+        """Number of requests served under the document."""
         return sum(item.n_requests for item in self.proving)
 
     @property
     def n_refused(self) -> int:
-        """Refusals under the document."""
+        """Number of refusals under the document."""
         return sum(n for item in self.proving for _, n in item.n_refused_by_code)
 
     @property
@@ -58,7 +59,7 @@
         return max(0.0, self.gathered_wall_ms - max(since)) if since else 0.0
 
     def summary(self) -> str:
-        """Return the evidence in one line, as the history records it."""
+        """Return the evidence as one line of text, for the history."""
         return (
             f"in force on {len(self.proving)} of"
             f" {len(self.instances) + len(self.silent_names)} instances"
@@ -70,14 +71,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PromotionPolicy:
-    """What trial has to show before a promotion needs no override."""
+    """Minimum evidence for a promotion without an override."""
 
     in_force_min_ms: float = 60_000.0
     n_requests_min: int = 1
 
 
 class PromotionDecision(Enum):
-    """What to do about a wanted promotion."""
+    """Decision on a requested promotion."""
 
     PROMOTE = "promote"
     PROMOTE_OVERRIDDEN = "promote_overridden"
@@ -89,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromotionVerdict:
-    """A decision with what is lacking, one sentence per lack."""
+    """A decision, with one sentence in ``lacks`` per missing piece of evidence."""
 
     decision: PromotionDecision
     lacks: tuple[str, ...] = ()
@@ -111,10 +112,11 @@
     wanted_digest: str = "",
     override_reason: str = "",
 ) -> PromotionVerdict:
-    """Decide whether what is in force in trial becomes production's document.
+    """Decide whether trial's document may be promoted to production.
 
-    A wanted digest is that of the file that the operator holds; it must be
-    the very document that trial has. Only a lack of evidence can be overridden.
+    ``wanted_digest`` is the digest of the operator's file; if given, it must be
+    that of the document in force in trial. An override reason replaces missing
+    evidence, but no other requirement.
     """
     if evidence is None:
         lack = "trial has no document in force"
@@ -125,7 +127,7 @@
         return PromotionVerdict(PromotionDecision.REFUSE_OTHER_DIGEST, (lack,))
     if production is not None and production.digest == digest:
         return PromotionVerdict(PromotionDecision.ALREADY_IN_FORCE)
-    lacks = _lacks(evidence, policy)
+    lacks = _missing_evidence(evidence, policy)
     if not lacks:
         return PromotionVerdict(PromotionDecision.PROMOTE)
     if override_reason.strip():
@@ -133,13 +135,17 @@
     return PromotionVerdict(PromotionDecision.REFUSE_NO_EVIDENCE, lacks)
 
 
-def _lacks(evidence: TrialEvidence, policy: PromotionPolicy) -> tuple[str, ...]:
+def _missing_evidence(
+    evidence: TrialEvidence, policy: PromotionPolicy
+) -> tuple[str, ...]:
     lacks = []
-    others = [item.name for item in evidence.instances if item not in evidence.proving]
+    outdated_names = [
+        item.name for item in evidence.instances if item not in evidence.proving
+    ]
     if not evidence.proving:
         lacks.append("no instance of trial has the document in force")
-    elif others:
-        lacks.append(f"not in force on {', '.join(others)}")
+    elif outdated_names:
+        lacks.append(f"not in force on {', '.join(outdated_names)}")
     if evidence.silent_names:
         lacks.append(f"no status from {', '.join(evidence.silent_names)}")
     if evidence.proving and evidence.in_force_ms < policy.in_force_min_ms:
@@ -165,7 +171,7 @@
     write_token: str,
     override_reason: str = "",
 ) -> Draft:
-    """Return the draft of production's next revision: trial's bytes unchanged."""
+    """Return the draft of production's next revision, with trial's text unchanged."""
     source = evidence.record
     return Draft(
         environment=production_name,
--- a/chestnuthall/core/configuration/_records.py
+++ b/chestnuthall/core/configuration/_records.py
@@ -1,27 +1,26 @@
-"""What is recorded about each accepted revision of an environment."""
+"""Records of the accepted revisions of an environment."""
 
 import re
 from dataclasses import dataclass, replace
 from typing import Final
 
-_CONTROL: Final = re.compile("[\\x00-\\x1f]")
+_CONTROL_CHARACTERS: Final = re.compile("[\\x00-\\x1f]")
 # The two bounds keep the history of an environment below the store's limit of
 # 1 MB per value. They count bytes as JSON stores them.
 N_HISTORY_ENTRY_BYTES_MAX: Final = 600_000
 N_HISTORY_TEXT_BYTES_MAX: Final = 300_000
-# Names of fields, numbers and punctuation of one entry.
-N_ENTRY_BYTES_FIXED: Final = 350
+# Encoded field names, numbers and punctuation of one entry.
+N_ENTRY_OVERHEAD_BYTES: Final = 350
 N_REASON_CHARACTERS_MAX: Final = 300
 N_EVIDENCE_CHARACTERS_MAX: Final = 600
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Draft:
-    """A document that an operator wants to be the next revision.
+    """A document that an operator submits as the next revision.
 
-    ``write_token`` is unique to one attempt, so that a write whose answer was
-    lost can be recognised. The ``source`` fields name the revision that a
-    promotion takes over.
+    ``write_token`` is unique to one attempt and identifies the write if its answer
+    was lost. The ``source`` fields identify the revision that a promotion copies.
     """
 
     environment: str
@@ -56,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class History:
-    """Records of an environment in order of revision."""
+    """Records of an environment, sorted by revision."""
 
     records: tuple[RevisionRecord, ...] = ()
 
@@ -71,12 +70,12 @@
         return next(found, None)
 
     def has_token(self, write_token: str) -> bool:
-        """Return whether a write of that token was accepted."""
+        """Return whether a write with this token is recorded as accepted."""
         return any(item.write_token == write_token for item in self.records)
 
 
 def next_record(draft: Draft, last_revision: int, now_wall_ms: float) -> RevisionRecord:
-    """Return the record that a draft becomes after ``last_revision``."""
+    """Return the record of a draft as the revision after ``last_revision``."""
     return RevisionRecord(
         environment=draft.environment,
         revision=last_revision + 1,
@@ -94,37 +93,40 @@
 
 
 def add_to_history(history: History, record: RevisionRecord) -> History:
-    """Return the history with a record, bounded in size.
+    """Return the history with a record added, bounded in size.
 
-    A revision that is recorded already stays as it is, so a repeated write
-    changes nothing. Old entries lose their text first, then go altogether.
+    A revision that is already recorded is left unchanged, so a repeated write has
+    no effect. Old entries lose their text beyond ``N_HISTORY_TEXT_BYTES_MAX`` and
+    are removed beyond ``N_HISTORY_ENTRY_BYTES_MAX``.
     """
     if history.of_revision(record.revision) is not None:
         return history
     records = sorted((*history.records, record), key=lambda item: item.revision)
-    return History(tuple(_without_old_entries(_without_old_texts(records))))
+    return History(tuple(_drop_old_entries(_drop_old_texts(records))))
 
 
-def _stored_bytes(text: str) -> int:
-    """Return the length of a text as JSON stores it, escapes included."""
+def _n_stored_bytes(text: str) -> int:
+    """Return the encoded length of a text in JSON, including escapes."""
     n_bytes = len(text.encode())
-    n_short = sum(text.count(mark) for mark in ('"', "\\", "\n", "\r", "\t"))
-    n_control = len(_CONTROL.findall(text))
-    return n_bytes + n_short + 5 * n_control
+    n_short_escapes = sum(
+        text.count(character) for character in ('"', "\\", "\n", "\r", "\t")
+    )
+    n_control_characters = len(_CONTROL_CHARACTERS.findall(text))
+    return n_bytes + n_short_escapes + 5 * n_control_characters
 
 
-def _without_old_texts(records: list[RevisionRecord]) -> list[RevisionRecord]:
+def _drop_old_texts(records: list[RevisionRecord]) -> list[RevisionRecord]:
     kept: list[RevisionRecord] = []
     n_bytes = 0
     for record in reversed(records):
-        n_bytes += _stored_bytes(record.text)
+        n_bytes += _n_stored_bytes(record.text)
         if n_bytes > N_HISTORY_TEXT_BYTES_MAX:
             record = replace(record, text="")
         kept.append(record)
     return kept[::-1]
 
 
-def _without_old_entries(records: list[RevisionRecord]) -> list[RevisionRecord]:
+def _drop_old_entries(records: list[RevisionRecord]) -> list[RevisionRecord]:
     kept: list[RevisionRecord] = []
     n_bytes = 0
     for record in reversed(records):
@@ -138,7 +140,9 @@
             record.override_reason,
             record.evidence,
         )
-        n_bytes += N_ENTRY_BYTES_FIXED + sum(_stored_bytes(item) for item in fields)
+        n_bytes += N_ENTRY_OVERHEAD_BYTES + sum(
+            _n_stored_bytes(item) for item in fields
+        )
         if n_bytes > N_HISTORY_ENTRY_BYTES_MAX:
             break
         kept.append(record)
--- a/chestnuthall/core/configuration/_revisions.py
+++ b/chestnuthall/core/configuration/_revisions.py
@@ -1,4 +1,4 @@
-"""Whether an offered configuration replaces the one in force."""
+"""Decision whether an offered configuration replaces the one in force."""
 
 from enum import Enum
 
@@ -20,8 +20,8 @@
     """Decide on an offered configuration, whatever its source.
 
     Only a higher revision of the instance's own environment is applied. Stale
-    reads, older copies of peers and repeated offers are kept out, so a
-    revision never reverts.
+    reads, outdated copies from peers and repeated offers are ignored, so the
+    revision in force never decreases.
     """
     if offered.environment != environment:
         return RevisionDecision.REJECT_OTHER_ENVIRONMENT
--- a/chestnuthall/core/configuration/_settlement.py
+++ b/chestnuthall/core/configuration/_settlement.py
@@ -1,4 +1,4 @@
-"""Whether a write of a revision took effect."""
+"""Decision whether a write of a revision with an unknown outcome took effect."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -7,7 +7,7 @@
 
 
 class Settlement(Enum):
-    """What a reading of the store says about one's own write."""
+    """Outcome of a write, determined by reading the store afterwards."""
 
     ACCEPTED = "accepted"
     ACCEPTED_AND_REPLACED = "accepted_and_replaced"
@@ -26,11 +26,11 @@
 def decide_settlement(
     write_token: str, base: InForce | None, found: InForce | None, history: History
 ) -> Settlement:
-    """Decide from a read-back after a write that was conditional on ``base``.
+    """Determine the outcome of a write that was conditional on ``base``.
 
-    If the object has not changed, the write may still arrive; writing again
-    on the same condition lets only one of the two take effect. Whoever
-    replaces a revision first records it in the history, so a write that was
+    If the object has not changed, the write may still take effect; a second write
+    with the same condition ensures that at most one of the two does. A writer
+    records a revision in the history before it replaces it, so a write that was
     accepted and then replaced is found there.
     """
     if found is not None and found.record.write_token == write_token:
--- a/chestnuthall/core/configuration/_watchers.py
+++ b/chestnuthall/core/configuration/_watchers.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-# More than one, so that the loss of a watcher does not delay its zone.
+# With more than one, the loss of a watcher does not delay changes in its zone.
 N_WATCHERS_PER_ZONE = 2
 
 
@@ -11,9 +11,9 @@
 ) -> bool:
     """Return whether an instance watches the store for its availability zone.
 
-    Every instance decides alone, from the members that it knows. Where views
-    differ there are more or fewer watchers for a moment; an instance without a
-    recent confirmation reads the store in any case.
+    Each instance decides independently, from the members that it knows. While their
+    views differ there may be more or fewer watchers; an instance without a recent
+    confirmation reads the store in any case.
 
     Examples
     --------
--- a/chestnuthall/core/configuration/tests/test_leaders.py
+++ b/chestnuthall/core/configuration/tests/test_leaders.py
@@ -1,4 +1,8 @@
-"""Guards the order in which the instances of a zone follow one another."""
+"""Tests of the choice of leaders among the instances of a zone.
+
+They guard against instances that follow each other in a cycle, none of which
+would then receive changes from the store.
+"""
 
 import pytest
 
@@ -7,15 +11,15 @@
 NAMES = [f"entry-{i}" for i in range(8)]
 
 
-def order():
-    """Return the names in the order of their positions."""
+def names_in_leader_order():
+    """Return the names sorted by position."""
     choices = [LeaderChoice(name) for name in NAMES]
     for choice in choices:
         choice.leader(NAMES, 0.0)
     return [item.own_name for item in sorted(choices, key=lambda item: item.position)]
 
 
-FIRST, SECOND, THIRD, *REST = order()
+FIRST, SECOND, THIRD, *REST = names_in_leader_order()
 
 # (case, own name, leaders that failed 1 s ago, instances of the zone, leader)
 CASES = [
@@ -23,7 +27,7 @@
     ("second follows the first", SECOND, (), NAMES, FIRST),
     ("last follows the first", REST[-1], (), NAMES, FIRST),
     ("first failed", REST[-1], (FIRST,), NAMES, SECOND),
-    ("first failed, seen by the second", SECOND, (FIRST,), NAMES, None),
+    ("first failed, second chooses", SECOND, (FIRST,), NAMES, None),
     ("two failed", REST[-1], (FIRST, SECOND), NAMES, THIRD),
     ("all leaders failed", REST[-1], (FIRST, SECOND, THIRD), NAMES, None),
     ("small zone", SECOND, (), [FIRST, SECOND, THIRD], None),
@@ -36,29 +40,29 @@
     [case[1:] for case in CASES],
     ids=[case[0] for case in CASES],
 )
-def test_leader(own_name, failed, names, leader):
-    """Two instances that follow each other would both miss every change."""
+def test_leader_is_earlier_in_order(own_name, failed, names, leader):
+    """An instance must not follow a later one, or two could follow each other."""
     choice = LeaderChoice(own_name)
     for name in failed:
         choice.avoid(name, 1_000.0)
     assert choice.leader(names, 2_000.0) == leader
 
 
-# (case, own name, leaders that failed, leader while the store does not answer)
-WITHOUT_STORE = [
+# (case, own name, leaders that failed, leader while the store is unavailable)
+CASES_WITHOUT_STORE = [
     ("first follows the second", FIRST, (), SECOND),
     ("second follows the first", SECOND, (), FIRST),
     ("second with a failed first", SECOND, (FIRST,), THIRD),
-    ("nobody has news", REST[0], (FIRST, SECOND, THIRD), None),
+    ("all leaders failed", REST[0], (FIRST, SECOND, THIRD), None),
 ]
 
 
 @pytest.mark.parametrize(
     ("own_name", "failed", "leader"),
-    [case[1:] for case in WITHOUT_STORE],
-    ids=[case[0] for case in WITHOUT_STORE],
+    [case[1:] for case in CASES_WITHOUT_STORE],
+    ids=[case[0] for case in CASES_WITHOUT_STORE],
 )
-def test_instance_that_the_store_refuses_follows_another(own_name, failed, leader):
+def test_instance_without_store_follows_any_leader(own_name, failed, leader):
     choice = LeaderChoice(own_name)
     choice.avoid_store(1_000.0)
     for name in failed:
@@ -66,15 +70,16 @@
     assert choice.leader(NAMES, 2_000.0) == leader
 
 
-def test_failed_leader_is_asked_again_later():
+def test_failed_leader_is_followed_again_later():
     choice = LeaderChoice(SECOND)
     choice.avoid(FIRST, 0.0)
     assert choice.leader(NAMES, 10_000.0) == FIRST
 
 
 @pytest.mark.parametrize("in_force_ms", [3_000.0, 5_000.0])
-def test_follower_has_time_left_when_its_leader_has_no_news(in_force_ms):
+def test_follower_has_time_left_when_its_leader_is_out_of_date(in_force_ms):
     timing = FeedTiming(in_force_ms)
-    # Age, one wait at the leader with its margin, and a read of the store.
+    # The maximum age leaves 1 s for one wait at the leader, its margin, and a read
+    # of the store.
     assert timing.age_max_ms + 1_000.0 < in_force_ms
     assert timing.watch_timeout_ms + 700.0 < timing.age_max_ms or in_force_ms < 5_000.0
--- a/chestnuthall/core/configuration/tests/test_promotion.py
+++ b/chestnuthall/core/configuration/tests/test_promotion.py
@@ -1,4 +1,8 @@
-"""Guards the rule of promotion: what trial must show, and what may be waived."""
+"""Tests of the promotion rule.
+
+They guard against promotions without sufficient evidence from trial, and against
+overrides of requirements other than evidence.
+"""
 
 from dataclasses import replace
 
@@ -18,56 +22,79 @@
 INSTANCE = InstanceEvidence(
     name="entry-0", digest="d1", revision=3, since_wall_ms=0.0, n_requests=9
 )
-GOOD = TrialEvidence(record=RECORD, gathered_wall_ms=60_000.0, instances=(INSTANCE,))
+SUFFICIENT = TrialEvidence(
+    record=RECORD, gathered_wall_ms=60_000.0, instances=(INSTANCE,)
+)
 BEHIND = replace(INSTANCE, name="entry-1", digest="d0", revision=2)
-LATE = replace(INSTANCE, name="entry-2", since_wall_ms=30_000.0)
-YOUNG = replace(GOOD, gathered_wall_ms=59_000.0)
-BURNING = replace(GOOD, fast_burn_classes=("clerk",))
-SAME = replace(RECORD, environment="production", revision=8)
+UPDATED_LATE = replace(INSTANCE, name="entry-2", since_wall_ms=30_000.0)
+TOO_RECENT = replace(SUFFICIENT, gathered_wall_ms=59_000.0)
+FAST_BURN = replace(SUFFICIENT, fast_burn_classes=("clerk",))
+SAME_DOCUMENT = replace(RECORD, environment="production", revision=8)
 
 # (case, evidence, production, options, decision, lacks)
 CASES = [
-    ("proven", GOOD, None, {}, DECISION.PROMOTE, []),
-    ("no trial", None, None, {}, DECISION.REFUSE_NO_TRIAL, ["trial has no docu"]),
-    ("same already", GOOD, SAME, {}, DECISION.ALREADY_IN_FORCE, []),
+    ("sufficient evidence", SUFFICIENT, None, {}, DECISION.PROMOTE, []),
     (
-        "another file",
-        GOOD,
+        "no document in trial",
+        None,
+        None,
+        {},
+        DECISION.REFUSE_NO_TRIAL,
+        ["trial has no docu"],
+    ),
+    ("already in force", SUFFICIENT, SAME_DOCUMENT, {}, DECISION.ALREADY_IN_FORCE, []),
+    (
+        "other file",
+        SUFFICIENT,
         None,
         {"wanted_digest": "d2", "override_reason": "now"},
         DECISION.REFUSE_OTHER_DIGEST,
         ["trial has digest d1, the file has d2"],
     ),
-    ("this file", GOOD, None, {"wanted_digest": "d1"}, DECISION.PROMOTE, []),
-    ("young", YOUNG, None, {}, DECISION.REFUSE_NO_EVIDENCE, ["in force for 59 s"]),
+    ("same file", SUFFICIENT, None, {"wanted_digest": "d1"}, DECISION.PROMOTE, []),
+    (
+        "in force too briefly",
+        TOO_RECENT,
+        None,
+        {},
+        DECISION.REFUSE_NO_EVIDENCE,
+        ["in force for 59 s"],
+    ),
     (
         "one instance behind",
-        replace(GOOD, instances=(INSTANCE, BEHIND)),
+        replace(SUFFICIENT, instances=(INSTANCE, BEHIND)),
         None,
         {},
         DECISION.REFUSE_NO_EVIDENCE,
         ["not in force on entry-1"],
     ),
     (
-        "one instance got it late",
-        replace(GOOD, instances=(INSTANCE, LATE)),
+        "one instance updated late",
+        replace(SUFFICIENT, instances=(INSTANCE, UPDATED_LATE)),
         None,
         {},
         DECISION.REFUSE_NO_EVIDENCE,
         ["in force for 30 s"],
     ),
     (
-        "one instance silent",
-        replace(GOOD, silent_names=("entry-9",)),
+        "one instance without status",
+        replace(SUFFICIENT, silent_names=("entry-9",)),
         None,
         {},
         DECISION.REFUSE_NO_EVIDENCE,
         ["no status from entry-9"],
     ),
-    ("burning", BURNING, None, {}, DECISION.REFUSE_NO_EVIDENCE, ["the error budget"]),
     (
-        "waived with a reason",
-        BURNING,
+        "fast burn",
+        FAST_BURN,
+        None,
+        {},
+        DECISION.REFUSE_NO_EVIDENCE,
+        ["the error budget"],
+    ),
+    (
+        "overridden with a reason",
+        FAST_BURN,
         None,
         {"override_reason": "closure"},
         DECISION.PROMOTE_OVERRIDDEN,
--- a/chestnuthall/core/configuration/tests/test_records.py
+++ b/chestnuthall/core/configuration/tests/test_records.py
@@ -1,4 +1,8 @@
-"""Guards what the history keeps, and what is shown as a difference."""
+"""Tests of the history, of ambiguous writes and of document differences.
+
+They guard against a history that a second writer alters, against writes reported
+with the wrong outcome, and against incomplete lists of differences.
+"""
 
 from dataclasses import replace
 
@@ -16,15 +20,15 @@
 from chestnuthall.core.model import CallerClass, EnvironmentDocument, UpstreamGroup
 
 
-def record(revision, **changes):
-    made = RevisionRecord(
+def make_record(revision, **changes):
+    record = RevisionRecord(
         environment="trial",
         revision=revision,
         digest="d" * 64,
         text="",
         write_token=f"t{revision}",
     )
-    return replace(made, **changes)
+    return replace(record, **changes)
 
 
 def history_of(*records):
@@ -34,30 +38,30 @@
     return history
 
 
-def test_record_once_added_never_changes():
-    """Guards the history against a second writer of the same revision."""
-    history = history_of(record(1, author="ada"), record(1, author="bea"))
+def test_recorded_revision_is_not_replaced():
+    """A second record of the same revision must not replace the first one."""
+    history = history_of(make_record(1, author="ada"), make_record(1, author="bea"))
     assert [item.author for item in history.records] == ["ada"]
 
 
-def test_late_entry_takes_its_place():
-    history = history_of(record(2), record(1), record(3))
+def test_records_are_sorted_by_revision():
+    history = history_of(make_record(2), make_record(1), make_record(3))
     assert [item.revision for item in history.records] == [1, 2, 3]
 
 
-BASE = InForce(record(1), 7)
+BASE = InForce(make_record(1), 7)
 # (case, base, found, tokens in the history, settlement)
 SETTLEMENTS = [
-    ("own token", BASE, InForce(record(2), 8), [], Settlement.ACCEPTED),
+    ("own token", BASE, InForce(make_record(2), 8), [], Settlement.ACCEPTED),
     ("unchanged", BASE, BASE, [1], Settlement.WRITE_AGAIN),
-    ("none yet", None, None, [], Settlement.WRITE_AGAIN),
-    ("another's", BASE, InForce(record(3), 8), [1], Settlement.LOST),
-    ("created by another", None, InForce(record(3), 8), [], Settlement.LOST),
+    ("no object yet", None, None, [], Settlement.WRITE_AGAIN),
+    ("token of another write", BASE, InForce(make_record(3), 8), [1], Settlement.LOST),
+    ("created by another write", None, InForce(make_record(3), 8), [], Settlement.LOST),
     ("deleted", BASE, None, [1], Settlement.LOST),
     (
         "replaced",
         BASE,
-        InForce(record(3), 9),
+        InForce(make_record(3), 9),
         [1, 2],
         Settlement.ACCEPTED_AND_REPLACED,
     ),
@@ -70,8 +74,8 @@
     ids=[case[0] for case in SETTLEMENTS],
 )
 def test_settlement(base, found, tokens, settlement):
-    """Guards against a write reported as lost that took effect, or the reverse."""
-    history = history_of(*(record(number) for number in tokens))
+    """A write that took effect must not be reported as lost, nor the reverse."""
+    history = history_of(*(make_record(number) for number in tokens))
     assert decide_settlement("t2", base, found, history) is settlement
 
 
@@ -82,9 +86,9 @@
 OLD = EnvironmentDocument(classes=(CLASS,), groups=(GROUP,))
 # (case, new document, lines)
 DIFFERENCES = [
-    ("same", OLD, []),
+    ("no difference", OLD, []),
     (
-        "field",
+        "field changed",
         replace(OLD, classes=(replace(CLASS, share=2.0),)),
         ["classes.a.share: 1.0 -> 2.0"],
     ),
@@ -94,7 +98,7 @@
         ["classes.a.soft_deadline_ms: added, 3.0"],
     ),
     (
-        "part of a group",
+        "nested field added",
         replace(OLD, groups=(replace(GROUP, reserved_ratios=(("search", 0.2),)),)),
         ["groups.g.reserved_ratios.search: added, 0.2"],
     ),
