--- a/chestnuthall/core/model/__init__.py
+++ b/chestnuthall/core/model/__init__.py
@@ -1,4 +1,4 @@
-"""Data classes that the decisions work on."""
+"""Data classes of the core: requests, answers, routes and configuration."""
 
 from chestnuthall.core.model._accounts import (
     Account,
--- a/chestnuthall/core/model/_accounts.py
+++ b/chestnuthall/core/model/_accounts.py
@@ -1,11 +1,11 @@
-"""The account that each answer and refusal carries."""
+"""The account that explains the outcome and timing of a request."""
 
 from dataclasses import dataclass
 from enum import Enum
 
 
 class AdmissionRule(Enum):
-    """The rule that decided when a query was admitted."""
+    """Rule by which a query was admitted, or ``NOT_ADMITTED``."""
 
     IMMEDIATE = "immediate"
     URGENCY_WITHIN_SHARE = "urgency_within_share"
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassStanding:
-    """Standing of one class in a group at the moment of a decision.
+    """Standing of one class in a group at the time of an admission decision.
 
     ``normalised_service`` is the service that the class received over the
     fleet, in shard calls, divided by its share.
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueriesAhead:
-    """Queries that were admitted between this query's arrival and admission."""
+    """Number of queries of one class admitted while this query was queued."""
 
     class_name: str
     n_queries: int
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionAccount:
-    """Why a query was admitted, or refused, when it was."""
+    """Explanation of the time at which a query was admitted or refused."""
 
     rule: AdmissionRule
     queued_ms: float
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FanOutAccount:
-    """What the shard calls of a query did."""
+    """Statistics of the shard calls of a query."""
 
     n_calls: int = 0
     n_hedges: int = 0
@@ -67,10 +67,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Account:
-    """Why a request was served, or refused, when it was.
+    """Explanation of the outcome of a request and of its timing.
 
     The wall-clock times are milliseconds since the epoch on the instance's
-    clock. The account names classes only, never a caller or its query.
+    clock. The account contains only the name of the class, never the caller
+    or its query.
     """
 
     request_id: str
@@ -89,5 +90,5 @@
     snapshot_id: int
     configuration_revision: int
     result_code: int
-    # Whether the outcome came after the latency objective of the class.
+    # Whether the request took longer than the latency objective of its class.
     is_late: bool = False
--- a/chestnuthall/core/model/_answers.py
+++ b/chestnuthall/core/model/_answers.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Hit:
-    """One ranked record; a higher score ranks first, then the smaller key."""
+    """One ranked record, ordered by descending score, then by ascending key."""
 
     key: str
     score: float
@@ -19,10 +19,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ShardSet:
-    """Shards that a peer answers for in one call.
+    """Shards that a peer searches in one call.
 
-    ``n_missing_max`` of them may be missing from an answer in time, as far as the
-    coverage floor of the whole request allows it.
+    ``n_missing_max`` is the number of these shards that may be missing from an
+    answer sent in time; it follows from the coverage floor of the whole request.
     """
 
     shard_ids: tuple[str, ...]
@@ -33,7 +33,7 @@
 class ShardCall:
     """One call to one replica, or to a peer for a set of shards.
 
-    ``deadline_ms`` is on the instance's clock.
+    ``deadline_ms`` is a reading of the instance's monotonic clock.
     """
 
     call_id: str
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A replica's answer to a relayed request, passed on unchanged."""
+    """HTTP response of a replica to a relayed request, forwarded unchanged."""
 
     status: int
     headers: tuple[tuple[bytes, bytes], ...]
@@ -56,13 +56,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ShardAnswer:
-    """A whole answer of a replica that echoes the identity of its call.
+    """A complete answer of a replica, which echoes the identifiers of its call.
 
-    ``n_documents_searched`` is the number of documents that the replica looked
-    at; it is below the shard's size where the replica stopped early.
+    ``n_documents_searched`` is the number of documents that the replica
+    searched, which is below the shard's size if the replica stopped early.
     ``held_snapshots`` are the snapshots that the replica can serve now.
-    ``reply`` is the answer to a relayed request; ``is_error`` marks one that
-    reports a failure of the replica.
+    ``reply`` is the response to a relayed request, and ``is_error`` says that
+    this response reports a failure of the replica.
     """
 
     call_id: str
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Coverage:
-    """How much of the pinned snapshot an answer includes, in documents.
+    """Documents and shards of the pinned snapshot that an answer includes.
 
     Examples
     --------
@@ -94,7 +94,7 @@
 
     @property
     def ratio(self) -> float:
-        """Covered documents as a part of all; 1.0 for an empty index."""
+        """Fraction of the documents that are covered; 1.0 for an empty index."""
         if self.n_documents_total == 0:
             return 1.0 if self.n_shards_covered == self.n_shards_total else 0.0
         return self.n_documents_covered / self.n_documents_total
@@ -112,8 +112,8 @@
 class Answer:
     """A successful answer to a caller.
 
-    For a relayed request ``reply`` is what the caller gets, and ``parts`` are
-    the replicas' replies that it was made of.
+    For a relayed request, ``reply`` is the response to the caller, and ``parts``
+    are the replies of the replicas from which it was merged.
     """
 
     request_id: str
@@ -131,9 +131,9 @@
 class Refusal:
     """A request that ends without an answer.
 
-    ``run`` and ``repeat`` hold for this request and may be narrower than
-    those of the failure's kind. ``reply`` is the replica's own error, which is
-    passed on to the caller of a relayed request.
+    ``run`` and ``repeat`` apply to this request and may be more specific than
+    those of the failure's kind. ``reply`` is the replica's own error response,
+    which is forwarded to the caller of a relayed request.
     """
 
     request_id: str
--- a/chestnuthall/core/model/_decisions.py
+++ b/chestnuthall/core/model/_decisions.py
@@ -1,11 +1,11 @@
-"""Decisions on one request, as they are logged."""
+"""Log records of the decisions made for one request."""
 
 from dataclasses import dataclass
 from enum import Enum
 
 
 class DecisionEvent(Enum):
-    """Name of a decision in the log, with the names of its fields."""
+    """Text of a decision in the log, with the names of its fields."""
 
     ADMITTED = "request admitted", ("rule", "queued_ms", "n_ahead")
     CALL_SENT = (
@@ -37,14 +37,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """One decision; ``values`` belong to the field names of its event."""
+    """One decision; ``values`` are in the order of ``event.field_names``."""
 
     at_ms: float
     event: DecisionEvent
     values: tuple[object, ...]
 
     def fields(self) -> dict[str, object]:
-        """Return the fields by name, with times rounded to a tenth."""
+        """Return the values by field name, with floats rounded to one decimal."""
         return {
             name: round(value, 1) if isinstance(value, float) else value
             for name, value in zip(self.event.field_names, self.values, strict=True)
--- a/chestnuthall/core/model/_environment.py
+++ b/chestnuthall/core/model/_environment.py
@@ -1,4 +1,4 @@
-"""The environment document as the decisions see it."""
+"""Data classes of the environment document."""
 
 from dataclasses import dataclass, field
 
@@ -7,7 +7,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Objective:
-    """Service-level objective: a part of requests answered well in time."""
+    """Service-level objective of a class.
+
+    At least the ratio ``good_ratio`` of the requests is to succeed within
+    ``latency_ms``.
+    """
 
     latency_ms: float
     good_ratio: float
@@ -15,12 +19,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CallerClass:
-    """A class of callers and what it is owed.
+    """A class of callers with its share, limits and objective.
 
-    ``share`` is a weight relative to the other classes. A higher ``urgency``
-    goes first among the classes that are within their share. From
-    ``soft_deadline_ms`` on, an answer at or above the coverage floor is
-    returned without waiting for stragglers.
+    ``share`` is a weight relative to the other classes. Among the classes that
+    are within their share, the one with the highest ``urgency`` is served
+    first. After ``soft_deadline_ms``, an answer at or above the coverage floor
+    is returned without waiting for stragglers.
     """
 
     name: str
@@ -38,9 +42,9 @@
     """A group of upstreams that serve one index.
 
     ``n_slots`` and ``n_connections_max`` are per replica.
-    ``reserved_ratios`` maps a kind of request to the part of the group's
+    ``reserved_ratios`` maps a kind of request to the fraction of the group's
     limit that other kinds may use only while it is idle. ``shard_ids`` names the
-    shards where the configuration defines them instead of a partition map.
+    shards if the configuration defines them instead of a partition map.
     """
 
     name: str
@@ -53,10 +57,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ExtraLoadPolicy:
-    """Budget for hedges and retries, as a part of all shard calls.
+    """Budget for hedges and retries, as a fraction of all shard calls.
 
-    The budget falls linearly from ``max_ratio`` at utilisation
-    ``full_below_ratio`` to nothing at ``none_above_ratio``.
+    The budget decreases linearly from ``max_ratio`` at the utilisation
+    ``full_below_ratio`` to zero at ``none_above_ratio``.
     """
 
     max_ratio: float = 0.03
@@ -66,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EnvironmentDocument:
-    """Everything that operators define for one environment."""
+    """Settings that operators define for one environment."""
 
     classes: tuple[CallerClass, ...]
     groups: tuple[UpstreamGroup, ...]
@@ -74,11 +78,11 @@
     routes: RouteTable = field(default_factory=RouteTable)
 
     def class_named(self, name: str) -> CallerClass | None:
-        """Return the class of that name, or None."""
+        """Return the class with a name, or None if there is none."""
         return next((item for item in self.classes if item.name == name), None)
 
     def group_named(self, name: str) -> UpstreamGroup | None:
-        """Return the upstream group of that name, or None."""
+        """Return the upstream group with a name, or None if there is none."""
         return next((item for item in self.groups if item.name == name), None)
 
 
@@ -86,9 +90,9 @@
 class Configuration:
     """An accepted environment document with its identity.
 
-    ``digest`` is the SHA-256 of ``text`` in hexadecimal. ``revision`` grows by
-    one with each accepted change of the environment. ``stored_text`` is the
-    whole value of the object in the store, which peers pass on unchanged.
+    ``digest`` is the SHA-256 of ``text`` in hexadecimal. ``revision`` increases
+    by one with each accepted change of the environment. ``stored_text`` is the
+    complete value of the object in the store, which peers forward unchanged.
     """
 
     environment: str
--- a/chestnuthall/core/model/_partition_map.py
+++ b/chestnuthall/core/model/_partition_map.py
@@ -1,4 +1,4 @@
-"""Partition maps: which shard holds which keys in one snapshot of an index."""
+"""Partition maps: the key ranges and replicas of an index's shards."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -6,7 +6,9 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyRange:
-    """Keys from ``start`` up to but without ``end``; an empty end is unbounded.
+    """Half-open range of keys from ``start`` to ``end``.
+
+    An empty ``end`` means that the range has no upper bound.
 
     Examples
     --------
@@ -20,7 +22,7 @@
     end: str
 
     def contains(self, key: str) -> bool:
-        """Return whether the key lies in the range."""
+        """Return whether the key is in the range."""
         return self.start <= key and (not self.end or key < self.end)
 
 
@@ -28,9 +30,9 @@
 class Replica:
     """One upstream process that serves a shard.
 
-    ``n_slots`` is how many calls it runs at once, 0 where its group says so.
-
-    ``incarnation`` tells the starts of a replica that keeps its name apart.
+    ``n_slots`` is the number of calls that it runs concurrently; 0 means that
+    the value of its group applies. ``incarnation`` distinguishes restarts of a
+    replica under the same name.
     """
 
     name: str
@@ -42,10 +44,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Shard:
-    """One part of an index with the replicas that serve it.
+    """One shard of an index with the replicas that serve it.
 
-    A set of shards has them as its ``members``; its replicas are instances that
-    answer for all of them.
+    A set of shards is represented as a shard with ``members``; its replicas are
+    peer instances that search all of the members.
     """
 
     shard_id: str
@@ -59,7 +61,7 @@
 class PartitionMap:
     """The shards of one snapshot of a group's index.
 
-    ``snapshot_id`` grows by one with each published snapshot of the group.
+    ``snapshot_id`` increases by one with each published snapshot of the group.
     """
 
     group: str
@@ -72,7 +74,7 @@
         return sum(shard.n_documents for shard in self.shards)
 
     def shard_for_key(self, key: str) -> Shard | None:
-        """Return the shard whose key range holds the key, or None."""
+        """Return the shard whose key range contains the key, or None."""
         for shard in self.shards:
             if shard.key_range.contains(key):
                 return shard
@@ -80,7 +82,7 @@
 
 
 def reachable_ratio(shards: Sequence[Shard]) -> float:
-    """Return the part of the documents in shards that have a replica.
+    """Return the fraction of the documents that are in shards with a replica.
 
     Examples
     --------
--- a/chestnuthall/core/model/_requests.py
+++ b/chestnuthall/core/model/_requests.py
@@ -6,11 +6,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Request:
-    """What every request of a caller has.
+    """Fields that requests of every kind have.
 
     ``arrived_ms`` and ``deadline_ms`` are readings of the instance's monotonic
-    clock. ``fingerprint`` identifies the content of the request, without its
-    id, so that a resend has the same one.
+    clock. ``fingerprint`` is a hash of the request without its id, so that a
+    request that is sent again has the same one.
     """
 
     request_id: str
@@ -38,10 +38,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MutationRequest(Request):
-    """A request that must run at most once, such as a hold or a renewal.
+    """A request that must run at most once, such as a reservation or renewal.
 
-    ``issued_at_ms`` is the caller's wall-clock time in milliseconds since the
-    epoch at which it made ``idempotency_key``.
+    ``issued_at_ms`` is the caller's wall-clock time, in milliseconds since the
+    epoch, at which it generated ``idempotency_key``.
     """
 
     key: str
@@ -52,10 +52,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RelayedRequest(Request):
-    """A request whose content is passed on to replicas unchanged.
+    """A request whose content is forwarded to replicas unchanged.
 
-    ``headers`` are the end-to-end headers in the order of the caller, and
-    ``n_replicas_max`` bounds the replicas of one shard that may be sent it.
+    ``headers`` are the end-to-end headers in the order in which the caller sent
+    them. ``n_replicas_max`` is the maximum number of replicas of one shard to
+    which the request may be sent.
     """
 
     method: str
@@ -67,18 +68,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ForwardRequest(RelayedRequest):
-    """A relayed request that one replica of one service answers."""
+    """A relayed request that a single replica of a service answers."""
 
     is_repeatable: bool
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ScatterRequest(RelayedRequest):
-    """A relayed request to every shard; the largest records are merged.
+    """A relayed request to every shard, whose largest records are merged.
 
-    A replica's answer is a sequence of records of ``n_record_bytes`` each. A peer
-    that divides a search asks for ``shard_ids`` only, of which ``n_missing_max`` may
-    be missing; without them, the search is for all shards.
+    A replica's answer is a sequence of records of ``n_record_bytes`` each. In a
+    two-level fan-out, a peer requests only the shards in ``shard_ids``, of which
+    ``n_missing_max`` may be missing; if it is empty, all shards are searched.
     """
 
     n_records_max: int
@@ -89,8 +90,8 @@
 
 @singledispatch
 def kind_of(request: Request) -> str:
-    """Return the name of the request's kind: search, lookup or mutation."""
-    raise TypeError(f"not a request: {type(request).__name__}")
+    """Return the name of the request's kind, such as search or lookup."""
+    raise TypeError(f"unsupported request type: {type(request).__name__}")
 
 
 @kind_of.register
@@ -120,7 +121,7 @@
 
 @singledispatch
 def is_idempotent(request: Request) -> bool:
-    """Return whether the request may be run more than once."""
+    """Return whether the request may run more than once."""
     return True
 
 
--- a/chestnuthall/core/model/_routes.py
+++ b/chestnuthall/core/model/_routes.py
@@ -1,11 +1,11 @@
-"""Routes of relayed requests: which target serves a host and a path."""
+"""Routing of relayed requests by host and path prefix."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """A set of shards that a request is sent to, with its part of a split."""
+    """An upstream group that a route sends requests to, with its weight."""
 
     group: str
     weight: float = 1.0
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MergeRule:
-    """How the answers of several shards become one."""
+    """Limits for merging the answers of several shards into one."""
 
     n_records_max: int
     n_record_bytes: int
@@ -21,10 +21,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Route:
-    """Requests of one host below one path prefix.
+    """Handling of the requests for one host and path prefix.
 
-    ``merge`` is None where one replica answers. Requests of a route with several
-    targets are distributed over them in proportion to the weights.
+    ``merge`` is None if a single replica answers. The requests of a route with
+    several targets are distributed in proportion to their weights.
     """
 
     name: str
@@ -40,9 +40,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteTable:
-    """Finds the route with the longest prefix of a path.
+    """Finds the route with the longest matching path prefix.
 
-    Prefixes begin and end with a slash, so that only whole segments match.
+    Prefixes begin and end with a slash, so that only complete path segments
+    match.
 
     Examples
     --------
@@ -68,7 +69,7 @@
             by_prefix[route.path_prefix] = route
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route of a request, or None if there is none."""
+        """Return the route for a host and path, or None if none matches."""
         by_prefix = self._by_host.get(host)
         if by_prefix is None:
             return None
@@ -84,8 +85,9 @@
 class WeightedSplit:
     """Distributes requests over targets in proportion to their weights.
 
-    Smooth weighted round robin: each target earns its weight with every
-    request, and the one with the most credit is chosen and pays the sum.
+    The algorithm is smooth weighted round robin: for each request, every target
+    is credited with its weight, and the target with the most credit is chosen and
+    debited the sum of the weights.
 
     Examples
     --------
@@ -96,15 +98,15 @@
 
     def __init__(self, targets: tuple[Target, ...]) -> None:
         self.targets = targets
-        self._total = sum(target.weight for target in targets)
+        self._total_weight = sum(target.weight for target in targets)
         self._credits = [0.0] * len(targets)
 
     def next(self) -> Target:
-        """Return the target of the next request."""
+        """Return the target for the next request."""
         if len(self.targets) == 1:
             return self.targets[0]
         for index, target in enumerate(self.targets):
             self._credits[index] += target.weight
         chosen = max(range(len(self.targets)), key=self._credits.__getitem__)
-        self._credits[chosen] -= self._total
+        self._credits[chosen] -= self._total_weight
         return self.targets[chosen]
