--- a/chestnuthall/core/quarantine/__init__.py
+++ b/chestnuthall/core/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Requests that crash the upstreams that run them."""
+"""Detection and quarantine of requests that crash upstreams."""
 
 from chestnuthall.core.quarantine._register import (
     QuarantineRegister,
--- a/chestnuthall/core/quarantine/_register.py
+++ b/chestnuthall/core/quarantine/_register.py
@@ -1,11 +1,12 @@
-"""Connection losses per request fingerprint, and the verdict on each.
-
-The rule: the losses of one wave of calls make a request suspected, however many
-they are, because a rack or a zone that fails takes one replica of many shards at
-once. A suspected request then runs on one replica only, the probe, which is
-chosen outside the zones that lost replicas. An answer of the probe clears the
-request; a loss of the probe quarantines it. A second replica of the same shard
-that is lost in another zone counts as a lost probe, since a hedge is one.
+"""Connection losses per request fingerprint, and whether each is quarantined.
+
+Losses in one wave of calls only make a request suspected, however many there
+are, because the failure of a rack or zone makes one replica of many shards
+unavailable at once. A suspected request then runs on one replica only, as a
+probe outside the zones that lost replicas. If the probe is answered, the request
+is cleared; if the replica is lost, the request is quarantined. The loss of a
+second replica of the same shard in another zone counts as a lost probe, because
+a hedge acts as a probe.
 """
 
 from collections.abc import Callable, Iterable
@@ -14,25 +15,27 @@
 
 from chestnuthall.core.model import Replica
 
-# A peer that hears of a suspicion late must not suspect a cleared request again.
-CLEARED_REMEMBERED_MS = 10_000.0
-# A request that crashes only some of its runs would be cleared again and again.
+# Retention of clearances, so that a late notice of a peer does not make a cleared
+# request suspected again.
+CLEARED_RETENTION_MS = 10_000.0
+# The next loss after this many clearances quarantines the request. Without the
+# limit, a request that crashes only some of its runs would always be cleared.
 N_CLEARED_MAX = 2
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class QuarantineSettings:
-    """How many replicas a request may cost, and for how long it is refused."""
+    """Limits on the replicas lost to a request, and durations in milliseconds."""
 
     n_replicas_lost_max: int = 2
     quarantine_ms: float = 300_000.0
     n_fingerprints_max: int = 4096
-    # How long others wait for the verdict of the query that runs the probe.
-    hold_ms: float = 2_000.0
+    # How long a probe is reserved, during which other queries wait for its outcome.
+    probe_reservation_ms: float = 2_000.0
 
 
 class SuspicionState(Enum):
-    """What became of a fingerprint."""
+    """State of a fingerprint after a change."""
 
     SUSPECTED = "suspected"
     QUARANTINED = "quarantined"
@@ -41,25 +44,26 @@
 
 @dataclass(slots=True)
 class Suspicion:
-    """Replicas that a fingerprint is blamed for, and who runs its probe.
+    """Replicas lost to a fingerprint, and the reservation of its probe.
 
-    ``replica_names`` has one name while the request is only suspected, whatever
-    its first wave lost, and at least two once it is quarantined.
+    ``replica_names`` has one name while the request is only suspected, however
+    many replicas its first wave lost, and at least two once it is quarantined.
+    ``loss_zone_by_shard`` has the zone of the first loss of each shard.
     """
 
     fingerprint: str
     expires_ms: float
     replica_names: set[str] = field(default_factory=set)
     lost_zones: set[str] = field(default_factory=set)
-    lost_shards: dict[str, str] = field(default_factory=dict)
+    loss_zone_by_shard: dict[str, str] = field(default_factory=dict)
     is_quarantined: bool = False
     is_own: bool = True
-    holder: str = ""
-    held_until_ms: float = float("-inf")
+    probe_owner: str = ""
+    probe_reserved_until_ms: float = float("-inf")
 
 
 @dataclass(frozen=True, slots=True)
-class _Cleared:
+class _Clearance:
     cleared_ms: float
     n_cleared: int
     is_own: bool
@@ -69,16 +73,20 @@
 
 
 class QuarantineRegister:
-    """Suspects, clears and quarantines requests."""
+    """Registry of suspected, cleared and quarantined requests."""
 
     def __init__(self, settings: QuarantineSettings) -> None:
         self._settings = settings
         self._suspicions: dict[str, Suspicion] = {}
-        self._cleared: dict[str, _Cleared] = {}
+        self._cleared: dict[str, _Clearance] = {}
         self._listeners: list[Listener] = []
 
     def on_change(self, listener: Listener) -> None:
-        """Call with the fingerprint, its new state and whether it arose here."""
+        """Add a listener for changes of state.
+
+        It is called with the fingerprint, its new state and whether the change was
+        detected by this instance.
+        """
         self._listeners.append(listener)
 
     def _notify(self, fingerprint: str, state: SuspicionState, is_own: bool) -> None:
@@ -94,44 +102,46 @@
         started_ms: float,
         is_probe: bool = False,
     ) -> None:
-        """Note a connection that was lost while a replica ran a request.
+        """Record a connection that was lost while a replica ran a request.
 
-        ``is_probe`` marks a call that started when the request was suspected.
-        A call that started before the request was cleared belongs to the wave
-        that was judged already.
+        ``is_probe`` says that the call started while the request was suspected.
+        The loss of a call that started before the request was cleared is ignored,
+        because it belongs to the wave that the clearance covers.
         """
-        suspicion = self._live(fingerprint, now_ms)
+        suspicion = self._find_unexpired(fingerprint, now_ms)
         if suspicion is None:
             cleared = self._cleared.get(fingerprint)
             if cleared is not None and started_ms < cleared.cleared_ms:
                 return
-            suspicion = self._suspect(fingerprint, replica.name, now_ms, is_own=True)
-            self._note_place(suspicion, replica, shard_id)
+            suspicion = self._add_suspicion(
+                fingerprint, replica.name, now_ms, is_own=True
+            )
+            self._record_location(suspicion, replica, shard_id)
             if self._n_cleared(fingerprint, now_ms) >= N_CLEARED_MAX:
                 suspicion.replica_names.add("")
                 self._quarantine(suspicion, is_own=True)
             else:
                 self._notify(fingerprint, SuspicionState.SUSPECTED, True)
             return
-        zone_before = suspicion.lost_shards.get(shard_id)
-        is_evidence = is_probe or zone_before not in (None, replica.zone)
-        self._note_place(suspicion, replica, shard_id)
+        first_loss_zone = suspicion.loss_zone_by_shard.get(shard_id)
+        is_evidence = is_probe or first_loss_zone not in (None, replica.zone)
+        self._record_location(suspicion, replica, shard_id)
         if not is_evidence or replica.name in suspicion.replica_names:
             return
         suspicion.replica_names.add(replica.name)
         if len(suspicion.replica_names) >= self._settings.n_replicas_lost_max:
             self._quarantine(suspicion, is_own=True)
 
-    def _note_place(
+    def _record_location(
         self, suspicion: Suspicion, replica: Replica, shard_id: str
     ) -> None:
         suspicion.lost_zones.add(replica.zone)
-        suspicion.lost_shards.setdefault(shard_id, replica.zone)
+        suspicion.loss_zone_by_shard.setdefault(shard_id, replica.zone)
 
-    def _suspect(
+    def _add_suspicion(
         self, fingerprint: str, replica_name: str, now_ms: float, is_own: bool
     ) -> Suspicion:
-        self._forget_expired(now_ms)
+        self._remove_expired(now_ms)
         suspicion = Suspicion(
             fingerprint,
             now_ms + self._settings.quarantine_ms,
@@ -154,133 +164,139 @@
         expires_ms: float,
         now_ms: float,
     ) -> None:
-        """Take in a peer's notice.
+        """Merge a notice received from a peer.
 
-        Two replicas or more mean quarantine, one a suspicion whose probe the
-        peer runs, and an expiry that has passed that the request was cleared.
+        Two or more replica names mean that the request is quarantined, and one
+        means that it is suspected and the peer runs the probe. An expiry in the
+        past means that the request was cleared.
         """
         names = set(replica_names)
         if expires_ms <= now_ms:
             self._clear(fingerprint, now_ms, is_own=False)
             return
-        suspicion = self._live(fingerprint, now_ms)
+        suspicion = self._find_unexpired(fingerprint, now_ms)
         if len(names) >= self._settings.n_replicas_lost_max:
             if suspicion is None:
-                suspicion = self._suspect(fingerprint, "", now_ms, is_own=False)
+                suspicion = self._add_suspicion(fingerprint, "", now_ms, is_own=False)
                 suspicion.replica_names.clear()
             suspicion.replica_names.update(names)
             suspicion.expires_ms = max(suspicion.expires_ms, expires_ms)
             self._quarantine(suspicion, is_own=False)
         elif suspicion is None and not self._n_cleared(fingerprint, now_ms):
-            suspicion = self._suspect(
+            suspicion = self._add_suspicion(
                 fingerprint, next(iter(names), ""), now_ms, is_own=False
             )
             suspicion.expires_ms = expires_ms
-            suspicion.holder = "peer"
-            suspicion.held_until_ms = now_ms + self._settings.hold_ms
+            suspicion.probe_owner = "peer"
+            suspicion.probe_reserved_until_ms = (
+                now_ms + self._settings.probe_reservation_ms
+            )
             self._notify(fingerprint, SuspicionState.SUSPECTED, False)
 
-    def _live(self, fingerprint: str, now_ms: float) -> Suspicion | None:
+    def _find_unexpired(self, fingerprint: str, now_ms: float) -> Suspicion | None:
         suspicion = self._suspicions.get(fingerprint)
         if suspicion is None or suspicion.expires_ms <= now_ms:
             return None
         return suspicion
 
     def is_quarantined(self, fingerprint: str, now_ms: float) -> bool:
-        """Return whether a request has cost as many replicas as it may."""
-        suspicion = self._live(fingerprint, now_ms)
+        """Return whether a request is quarantined."""
+        suspicion = self._find_unexpired(fingerprint, now_ms)
         return suspicion is not None and suspicion.is_quarantined
 
     def is_suspected(self, fingerprint: str, now_ms: float) -> bool:
-        """Return whether a request has cost a replica and was not cleared."""
-        return self._live(fingerprint, now_ms) is not None
+        """Return whether a request is suspected or quarantined."""
+        return self._find_unexpired(fingerprint, now_ms) is not None
 
     def lost_zones(self, fingerprint: str, now_ms: float) -> frozenset[str]:
         """Return the zones in which runs of a suspected request lost replicas."""
-        suspicion = self._live(fingerprint, now_ms)
+        suspicion = self._find_unexpired(fingerprint, now_ms)
         return frozenset() if suspicion is None else frozenset(suspicion.lost_zones)
 
-    def try_hold(self, fingerprint: str, holder: str, now_ms: float) -> bool:
-        """Reserve the probe of a suspected request; return whether it is ours."""
-        suspicion = self._live(fingerprint, now_ms)
+    def try_hold(self, fingerprint: str, probe_owner: str, now_ms: float) -> bool:
+        """Reserve the probe of a suspected request; return whether that succeeded."""
+        suspicion = self._find_unexpired(fingerprint, now_ms)
         if suspicion is None or suspicion.is_quarantined:
             return False
-        if suspicion.holder != holder and suspicion.held_until_ms > now_ms:
+        if (
+            suspicion.probe_owner != probe_owner
+            and suspicion.probe_reserved_until_ms > now_ms
+        ):
             return False
-        suspicion.holder = holder
+        suspicion.probe_owner = probe_owner
         suspicion.is_own = True
-        suspicion.held_until_ms = now_ms + self._settings.hold_ms
+        suspicion.probe_reserved_until_ms = now_ms + self._settings.probe_reservation_ms
         return True
 
     def held_until_ms(self, fingerprint: str) -> float:
-        """Return when the reservation of a probe lapses."""
+        """Return the time at which the reservation of a probe expires."""
         suspicion = self._suspicions.get(fingerprint)
-        return float("-inf") if suspicion is None else suspicion.held_until_ms
+        return float("-inf") if suspicion is None else suspicion.probe_reserved_until_ms
 
-    def release_hold(self, fingerprint: str, holder: str, now_ms: float) -> None:
-        """Let another query run the probe."""
+    def release_hold(self, fingerprint: str, probe_owner: str, now_ms: float) -> None:
+        """Release the reservation of a probe, so that another query can run it."""
         suspicion = self._suspicions.get(fingerprint)
-        if suspicion is not None and suspicion.holder == holder:
-            suspicion.held_until_ms = now_ms
+        if suspicion is not None and suspicion.probe_owner == probe_owner:
+            suspicion.probe_reserved_until_ms = now_ms
 
     def clear(self, fingerprint: str, now_ms: float) -> None:
-        """Drop the suspicion of a request whose probe was answered."""
+        """Clear a suspected request whose probe was answered."""
         self._clear(fingerprint, now_ms, is_own=True)
 
     def _clear(self, fingerprint: str, now_ms: float, is_own: bool) -> None:
-        suspicion = self._live(fingerprint, now_ms)
+        suspicion = self._find_unexpired(fingerprint, now_ms)
         if suspicion is None or suspicion.is_quarantined:
             return
         del self._suspicions[fingerprint]
         n_cleared = self._n_cleared(fingerprint, now_ms) + 1
-        self._cleared[fingerprint] = _Cleared(now_ms, n_cleared, is_own)
+        self._cleared[fingerprint] = _Clearance(now_ms, n_cleared, is_own)
         self._notify(fingerprint, SuspicionState.CLEARED, is_own)
 
     def _n_cleared(self, fingerprint: str, now_ms: float) -> int:
         cleared = self._cleared.get(fingerprint)
-        if cleared is None or now_ms - cleared.cleared_ms > CLEARED_REMEMBERED_MS:
+        if cleared is None or now_ms - cleared.cleared_ms > CLEARED_RETENTION_MS:
             return 0
         return cleared.n_cleared
 
     def lift(self, fingerprint: str) -> bool:
-        """Forget a fingerprint; return whether it was known."""
+        """Remove a fingerprint; return whether it was known."""
         return self._suspicions.pop(fingerprint, None) is not None
 
     def suspicions(self, now_ms: float) -> tuple[Suspicion, ...]:
         """Return all suspicions that have not expired."""
-        self._forget_expired(now_ms)
+        self._remove_expired(now_ms)
         return tuple(self._suspicions.values())
 
     def notices(self, now_ms: float) -> tuple[Suspicion, ...]:
-        """Return what peers have to know, in the form that ``merge`` takes.
+        """Return the notices for peers, as accepted by ``merge``.
 
-        These are all quarantines, the suspicions that arose here, and the
-        requests cleared here lately, whose expiry has passed.
+        These are all quarantines, the suspicions of this instance, and the requests
+        that it recently cleared, with an expiry that has passed.
         """
-        told = [
+        notices = [
             item
             for item in self.suspicions(now_ms)
             if item.is_own or item.is_quarantined
         ]
-        told += [
+        notices += [
             Suspicion(fingerprint, now_ms, {""})
             for fingerprint, cleared in self._cleared.items()
             if cleared.is_own and fingerprint not in self._suspicions
         ]
-        return tuple(told)
+        return tuple(notices)
 
-    def _forget_expired(self, now_ms: float) -> None:
+    def _remove_expired(self, now_ms: float) -> None:
         for key in [k for k, v in self._suspicions.items() if v.expires_ms <= now_ms]:
             del self._suspicions[key]
-        remembered_ms = now_ms - CLEARED_REMEMBERED_MS
+        retained_since_ms = now_ms - CLEARED_RETENTION_MS
         for key in [
-            k for k, v in self._cleared.items() if v.cleared_ms < remembered_ms
+            k for k, v in self._cleared.items() if v.cleared_ms < retained_since_ms
         ]:
             del self._cleared[key]
         while len(self._suspicions) >= self._settings.n_fingerprints_max:
-            del self._suspicions[self._least_important()]
+            del self._suspicions[self._eviction_candidate()]
 
-    def _least_important(self) -> str:
+    def _eviction_candidate(self) -> str:
         for key, suspicion in self._suspicions.items():
             if not suspicion.is_quarantined:
                 return key
--- a/chestnuthall/core/quarantine/tests/test_register.py
+++ b/chestnuthall/core/quarantine/tests/test_register.py
@@ -1,4 +1,8 @@
-"""Guards the verdict on requests whose runs lost replicas."""
+"""Tests of when a request that lost replicas is suspected or quarantined.
+
+They guard against a harmless request that is quarantined because a zone failed,
+and against a crashing request that keeps running.
+"""
 
 import pytest
 
@@ -6,30 +10,30 @@
 from chestnuthall.core.quarantine import QuarantineRegister, QuarantineSettings
 
 
-def lose(register, number, started_ms, now_ms, **options):
+def lose_replica(register, number, started_ms, now_ms, **options):
     replica = Replica(f"r{number}", f"r{number}", "z")
     register.record_loss("f", replica, f"s{number}", now_ms, started_ms, **options)
 
 
-def test_calls_of_a_cleared_wave_do_not_count_again():
-    """Connections that a dying zone cuts one by one must not add up."""
+def test_losses_of_a_cleared_wave_are_not_counted_again():
+    """Connections that a failing zone closes one by one must not add up."""
     register = QuarantineRegister(QuarantineSettings())
-    lose(register, 0, 0.0, 10.0)
+    lose_replica(register, 0, 0.0, 10.0)
     register.clear("f", 20.0)
     for number in range(1, 6):
-        lose(register, number, 5.0, 20.0 + number)
+        lose_replica(register, number, 5.0, 20.0 + number)
         assert not register.is_suspected("f", 20.0 + number)
-    lose(register, 9, 30.0, 40.0)
+    lose_replica(register, 9, 30.0, 40.0)
     assert register.is_suspected("f", 40.0)
 
 
-def test_request_that_crashes_some_runs_is_quarantined_in_the_end():
-    """A crash that not every run meets must not be cleared for ever."""
+def test_request_that_crashes_only_some_runs_is_quarantined():
+    """A request that crashes only some runs must not be cleared indefinitely."""
     register = QuarantineRegister(QuarantineSettings())
     for number in range(2):
-        lose(register, number, 100.0 * number, 100.0 * number + 1.0)
+        lose_replica(register, number, 100.0 * number, 100.0 * number + 1.0)
         register.clear("f", 100.0 * number + 50.0)
-    lose(register, 2, 200.0, 201.0)
+    lose_replica(register, 2, 200.0, 201.0)
     assert register.is_quarantined("f", 202.0)
 
 
@@ -41,7 +45,7 @@
         pytest.param(("r0",), 10.0, False, False, id="cleared"),
     ],
 )
-def test_notice_of_a_peer(names, expires_ms, is_suspected, is_quarantined):
+def test_merge_of_a_peer_notice(names, expires_ms, is_suspected, is_quarantined):
     """A peer's suspicion must not count as a quarantine, nor add up to one."""
     register = QuarantineRegister(QuarantineSettings())
     register.merge("f", ("r7",), 99.0, 9.0)
@@ -51,10 +55,10 @@
     assert not register.try_hold("f", "other", 11.0)
 
 
-def test_quarantine_ends():
-    """A request must be let in again after a while."""
+def test_quarantine_expires():
+    """A quarantined request must be admitted again after the quarantine time."""
     register = QuarantineRegister(QuarantineSettings(quarantine_ms=100.0))
-    lose(register, 0, 0.0, 10.0)
-    lose(register, 1, 11.0, 20.0, is_probe=True)
+    lose_replica(register, 0, 0.0, 10.0)
+    lose_replica(register, 1, 11.0, 20.0, is_probe=True)
     assert register.is_quarantined("f", 21.0)
     assert not register.is_quarantined("f", 121.0)
