--- a/chestnuthall/core/drains/__init__.py
+++ b/chestnuthall/core/drains/__init__.py
@@ -1,4 +1,4 @@
-"""Replicas that take no new calls, and how that news ages."""
+"""Draining replicas, and the expiry of the notices about them."""
 
 from chestnuthall.core.drains._events import (
     CameBack,
--- a/chestnuthall/core/drains/_events.py
+++ b/chestnuthall/core/drains/_events.py
@@ -1,11 +1,11 @@
-"""Events that the drain register takes and actions that it returns."""
+"""Events that the drain register handles and actions that it returns."""
 
 from dataclasses import dataclass
 from enum import Enum
 
 
 class DrainSignal(Enum):
-    """What first showed that a replica leaves."""
+    """Source of the information that a replica is draining."""
 
     LIST = "list"
     ANSWER = "answer"
@@ -16,10 +16,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """A drain, or its end, as instances tell it to each other.
+    """A drain, or its end, as exchanged between instances.
 
-    A higher ``sequence`` replaces a lower one. ``remaining_ms`` is a duration,
-    because clocks of instances differ.
+    A notice with a higher ``sequence`` replaces one with a lower. ``remaining_ms``
+    is a duration, because the clocks of instances differ.
     """
 
     replica_name: str
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Signalled(DrainEvent):
-    """This instance itself saw that a replica leaves."""
+    """This instance itself detected that a replica is draining."""
 
     wall_ms: float
     replica_name: str
@@ -47,9 +47,9 @@
 
 @dataclass(frozen=True, slots=True)
 class CameBack(DrainEvent):
-    """This instance itself saw that a replica takes calls again.
+    """This instance itself detected that a replica accepts calls again.
 
-    ``observed_ms`` is the earliest time that the observation can stand for,
+    ``observed_ms`` is the earliest time to which the observation can refer,
     such as the start of a health check.
     """
 
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NoticesReceived(DrainEvent):
-    """A peer passed on its notices."""
+    """Notices were received from a peer."""
 
     notices: tuple[Notice, ...]
 
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopCalls(DrainAction):
-    """Send a replica no new calls until a time."""
+    """Send no new calls to a replica until ``until_ms``."""
 
     replica_name: str
     until_ms: float
@@ -81,11 +81,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ResumeCalls(DrainAction):
-    """Use a replica again."""
+    """Allow calls to a replica again."""
 
     replica_name: str
 
 
 @dataclass(frozen=True, slots=True)
 class SpreadNews(DrainAction):
-    """Tell some peers at once, without waiting for the next probe."""
+    """Send notices to some peers at once, without waiting for the next probe."""
--- a/chestnuthall/core/drains/tests/test_register.py
+++ b/chestnuthall/core/drains/tests/test_register.py
@@ -1,4 +1,8 @@
-"""Guards the age, the order and the size of drain notices."""
+"""Tests of the expiry, order and number of drain notices.
+
+They guard against drains that echoes between instances keep active, and against
+outdated observations that end a drain.
+"""
 
 import hypothesis.strategies as st
 import pytest
@@ -115,39 +119,41 @@
 
 
 @pytest.mark.parametrize(
-    ("started_by", "back_by", "is_back"),
+    ("started_by", "recovered_by", "is_resumed"),
     [
         pytest.param(HEALTH, HEALTH, True, id="health"),
-        pytest.param(DrainSignal.ANSWER, HEALTH, False, id="health-lags"),
+        pytest.param(DrainSignal.ANSWER, HEALTH, False, id="answer-then-health"),
         pytest.param(DrainSignal.REFUSED, HEALTH, True, id="refused-then-health"),
-        pytest.param(LIST, HEALTH, False, id="list-precedes-the-replica"),
+        pytest.param(LIST, HEALTH, False, id="list-then-health"),
         pytest.param(LIST, LIST, True, id="list-then-list"),
-        pytest.param(DrainSignal.OPERATOR, HEALTH, False, id="operator-holds"),
-        pytest.param(HEALTH, DrainSignal.OPERATOR, True, id="operator-ends"),
+        pytest.param(DrainSignal.OPERATOR, HEALTH, False, id="operator-then-health"),
+        pytest.param(HEALTH, DrainSignal.OPERATOR, True, id="health-then-operator"),
     ],
 )
-def test_who_may_end_a_drain(started_by, back_by, is_back):
-    """A healthy answer must not undo a drain that the replica does not know of."""
+def test_signals_that_end_a_drain(started_by, recovered_by, is_resumed):
+    """A healthy report must not end a drain that the replica does not know of."""
     register = DrainRegister()
     register.handle(Signalled(0.0, 1e12, "r", started_by))
-    actions = register.handle(CameBack(100.0, 1e12, "r", back_by, 50.0))
-    assert (ResumeCalls("r") in actions) is is_back
-    assert (not register.active(100.0)) is is_back
+    actions = register.handle(CameBack(100.0, 1e12, "r", recovered_by, 50.0))
+    assert (ResumeCalls("r") in actions) is is_resumed
+    assert (not register.active(100.0)) is is_resumed
 
 
-@pytest.mark.parametrize(("shown_in_health", "is_back"), [(False, False), (True, True)])
-def test_lagging_health_does_not_end_a_drain(shown_in_health, is_back):
-    """A health endpoint that still shows the time before must not bring calls."""
+@pytest.mark.parametrize(
+    ("shown_in_health", "is_resumed"), [(False, False), (True, True)]
+)
+def test_lagging_health_does_not_end_a_drain(shown_in_health, is_resumed):
+    """A health endpoint that does not show the drain yet must not end it."""
     register = DrainRegister()
     register.handle(Signalled(0.0, 1e12, "r", DrainSignal.ANSWER))
     if shown_in_health:
         register.handle(Signalled(1_000.0, 1e12, "r", HEALTH))
     actions = register.handle(CameBack(2_000.0, 1e12, "r", HEALTH, 1_900.0))
-    assert (ResumeCalls("r") in actions) is is_back
+    assert (ResumeCalls("r") in actions) is is_resumed
 
 
 def test_only_the_first_notice_is_urgent():
-    """Repeated signals of one drain must not flood the fleet."""
+    """Repeated signals of one drain must not each trigger an exchange."""
     register = DrainRegister()
     first = register.handle(Signalled(0.0, 1e12, "r", HEALTH))
     again = register.handle(Signalled(5_000.0, 1e12, "r", HEALTH))
@@ -159,7 +165,7 @@
 
 @pytest.mark.parametrize("n_instances", [2, 8])
 def test_slow_echoes_do_not_keep_a_drain_alive(n_instances):
-    """A ring that passes news on as late as a message can be must fall silent."""
+    """A notice forwarded around a ring with long delays must still expire."""
     unbounded = DrainSettings(n_transmissions_max=10_000)
     registers = [DrainRegister(unbounded) for _ in range(n_instances)]
     registers[0].handle(Signalled(0.0, 1e12, "r", HEALTH))
@@ -176,7 +182,7 @@
 
 @pytest.mark.parametrize(("began_ms", "is_ended"), [(900.0, False), (1_100.0, True)])
 def test_check_that_began_before_the_drain_does_not_end_it(began_ms, is_ended):
-    """A slow healthy answer must not undo a drain that was signalled meanwhile."""
+    """A slow health check must not end a drain that was signalled meanwhile."""
     register = DrainRegister()
     register.handle(Signalled(1_000.0, 1e12, "r", HEALTH))
     register.handle(CameBack(1_200.0, 1e12, "r", HEALTH, began_ms))
