--- a/chestnuthall/core/registry/__init__.py
+++ b/chestnuthall/core/registry/__init__.py
@@ -1,4 +1,4 @@
-"""Replicas as they register themselves, and what becomes of each."""
+"""Replicas that register themselves, and changes of their registrations."""
 
 from chestnuthall.core.registry._register import (
     Change,
--- a/chestnuthall/core/registry/_register.py
+++ b/chestnuthall/core/registry/_register.py
@@ -1,4 +1,4 @@
-"""The replicas of each service, from registrations that come, change and lapse."""
+"""Register of the replicas of each service, updated from their registrations."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -6,16 +6,16 @@
 
 from chestnuthall.core.model import Replica
 
-# How long a draining replica still serves as the last one of its service. It is
-# half of the shortest time that a replica goes on serving after its notice.
-LAST_RESORT_MS = 1_500.0
+# How long a draining replica is still used if its service has no other. It is half
+# of the minimum time for which a replica keeps serving after it announces a drain.
+DRAINING_FALLBACK_MS = 1_500.0
 
 
 @dataclass(frozen=True, slots=True)
 class Registration:
-    """What a replica says of itself.
+    """State that a replica announces about itself.
 
-    ``warm_up_left_ms`` is how much longer it serves slowly after its start.
+    ``warm_up_left_ms`` is the remaining time of its slow phase after the start.
     """
 
     replica: Replica
@@ -25,7 +25,7 @@
 
 
 class ChangeKind(Enum):
-    """What became of a replica."""
+    """Kind of change of a replica's registration."""
 
     SEEN = "seen"
     RESTARTED = "restarted"
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One change; ``old`` is the registration that it replaces, if any."""
+    """A change of a registration; ``old`` is the one that was replaced, if any."""
 
     kind: ChangeKind
     new: Registration
@@ -52,18 +52,18 @@
 
 
 class ReplicaRegister:
-    """The registrations that are in force, by the name of the replica.
+    """Current registrations by the name of the replica.
 
-    A registration that disappears is kept for ``hold_ms``, since registrations
-    also lapse while the store is away, and are renewed after its return. A
-    replica that was draining is dropped at once. The incarnation keeps a late
-    registration of an earlier start from replacing that of a later one.
+    A registration that disappears is kept for ``grace_period_ms``, because
+    registrations also expire while the store is unavailable, and are renewed
+    afterwards. A draining replica is removed at once. The incarnation prevents a
+    late registration of an earlier start from replacing that of a later one.
 
-    ``version`` grows with each change of what ``replicas_of`` returns.
+    ``version`` increases with each change of the result of ``replicas_of``.
     """
 
-    def __init__(self, hold_ms: float) -> None:
-        self._hold_ms = hold_ms
+    def __init__(self, grace_period_ms: float) -> None:
+        self._grace_period_ms = grace_period_ms
         self._entries: dict[str, _Entry] = {}
         self.version = 0
 
@@ -71,10 +71,10 @@
         return len(self._entries)
 
     def put(self, registration: Registration, now_ms: float) -> list[Change]:
-        """Take in a registration that was read."""
+        """Add or update a registration that was read from the store."""
         name = registration.replica.name
         entry = self._entries.get(name)
-        replaced = self._drop_earlier_holders(registration.replica)
+        replaced = self._drop_replaced_at_address(registration.replica)
         if entry is None:
             entry = self._entries[name] = _Entry(registration)
             if registration.is_draining:
@@ -97,8 +97,8 @@
         self.version += 1
         return [*replaced, Change(kind, registration, old)]
 
-    def _drop_earlier_holders(self, replica: Replica) -> list[Change]:
-        """Drop replicas that started earlier at an address that has a new holder."""
+    def _drop_replaced_at_address(self, replica: Replica) -> list[Change]:
+        """Drop replicas with an earlier incarnation at the address of a replica."""
         return [
             self._drop(name)
             for name, entry in tuple(self._entries.items())
@@ -108,7 +108,7 @@
         ]
 
     def remove(self, name: str, now_ms: float) -> list[Change]:
-        """Note that a registration is no longer there."""
+        """Record that a registration is no longer in the store."""
         entry = self._entries.get(name)
         if entry is None:
             return []
@@ -120,7 +120,7 @@
         return [Change(ChangeKind.MISSING, entry.registration)]
 
     def drop(self, name: str) -> list[Change]:
-        """Forget a replica whose registration can no longer be read."""
+        """Remove a replica whose registration can no longer be decoded."""
         return [self._drop(name)] if name in self._entries else []
 
     def _drop(self, name: str) -> Change:
@@ -131,7 +131,7 @@
     def replace_all(
         self, registrations: Iterable[Registration], now_ms: float
     ) -> list[Change]:
-        """Take in a full listing; what it lacks is no longer there."""
+        """Update from a complete listing; any registration not in it is missing."""
         changes: list[Change] = []
         listed = {item.replica.name: item for item in registrations}
         for registration in listed.values():
@@ -141,27 +141,28 @@
         return changes
 
     def expire(self, now_ms: float) -> list[Change]:
-        """Drop the replicas that have been missing for too long."""
+        """Remove the replicas that have been missing for the grace period."""
         return [
             self._drop(name)
             for name, entry in tuple(self._entries.items())
             if entry.missing_since_ms is not None
-            and now_ms - entry.missing_since_ms >= self._hold_ms
+            and now_ms - entry.missing_since_ms >= self._grace_period_ms
         ]
 
     def next_expiry_ms(self) -> float | None:
-        """Return when ``expire`` is due, or None while nothing is missing."""
+        """Return when ``expire`` is due, or None if no registration is missing."""
         missing = [
             entry.missing_since_ms
             for entry in self._entries.values()
             if entry.missing_since_ms is not None
         ]
-        return min(missing) + self._hold_ms if missing else None
+        return min(missing) + self._grace_period_ms if missing else None
 
     def replicas_of(self, service: str, now_ms: float) -> tuple[Replica, ...]:
         """Return the replicas of a service that may be sent new calls.
 
-        Draining ones are used for ``LAST_RESORT_MS`` if there is no other.
+        If all are draining, those that began to drain less than
+        ``DRAINING_FALLBACK_MS`` ago are returned.
         """
         entries = [
             entry
@@ -177,11 +178,11 @@
             entry.registration.replica
             for entry in entries
             if entry.draining_since_ms is not None
-            and now_ms - entry.draining_since_ms < LAST_RESORT_MS
+            and now_ms - entry.draining_since_ms < DRAINING_FALLBACK_MS
         )
 
     def registrations(self) -> tuple[Registration, ...]:
-        """Return all registrations in force."""
+        """Return all current registrations."""
         return tuple(entry.registration for entry in self._entries.values())
 
 
--- a/chestnuthall/core/registry/tests/test_register.py
+++ b/chestnuthall/core/registry/tests/test_register.py
@@ -1,45 +1,49 @@
-"""Guards against calls to replicas that have left, restarted or been replaced."""
+"""Tests of the replicas in use after changes of their registrations.
+
+They guard against calls to replicas that have left, restarted or been replaced,
+and against dropping replicas while the store is unavailable.
+"""
 
 import pytest
 
 from chestnuthall.core.model import Replica
 from chestnuthall.core.registry import ChangeKind, Registration, ReplicaRegister
-from chestnuthall.core.registry._register import LAST_RESORT_MS
+from chestnuthall.core.registry._register import DRAINING_FALLBACK_MS
 
-HOLD_MS = 2_000.0
+GRACE_PERIOD_MS = 2_000.0
 
 
-def entry(name, *, born=1, address=None, draining=False, service="s"):
-    replica = Replica(name, address or f"{name}:1", "z", born, 3)
+def entry(name, *, incarnation=1, address=None, draining=False, service="s"):
+    replica = Replica(name, address or f"{name}:1", "z", incarnation, 3)
     return Registration(replica, service, draining)
 
 
 def run(steps):
-    """Apply steps of (time, verb, argument); return the register and its changes."""
-    register = ReplicaRegister(HOLD_MS)
+    """Apply steps of (time, method, argument); return register and kinds of change."""
+    register = ReplicaRegister(GRACE_PERIOD_MS)
     changes = []
-    for now_ms, verb, argument in steps:
-        if verb == "expire":
+    for now_ms, method_name, argument in steps:
+        if method_name == "expire":
             changes += register.expire(now_ms)
         else:
-            changes += getattr(register, verb)(argument, now_ms)
+            changes += getattr(register, method_name)(argument, now_ms)
     return register, [change.kind for change in changes]
 
 
 SEEN, GONE = ChangeKind.SEEN, ChangeKind.GONE
 MISSING, RESTORED = ChangeKind.MISSING, ChangeKind.RESTORED
-# (case, steps, kinds of change, names in use afterwards, time of the look)
+# (case, steps, kinds of change, names of the replicas in use, time of the check)
 CASES = [
     ("seen", [(0, "put", entry("a"))], [SEEN], {"a"}, 0),
     (
-        "same again",
+        "registered twice",
         [(0, "put", entry("a")), (1, "put", entry("a"))],
         [SEEN],
         {"a"},
         1,
     ),
     (
-        "draining with another left",
+        "draining beside another replica",
         [
             (0, "put", entry("a")),
             (0, "put", entry("b")),
@@ -50,42 +54,46 @@
         1,
     ),
     (
-        "the last one drains",
+        "last replica draining",
         [(0, "put", entry("a")), (1, "put", entry("a", draining=True))],
         [SEEN, ChangeKind.DRAINING],
         {"a"},
-        1 + LAST_RESORT_MS - 1,
+        1 + DRAINING_FALLBACK_MS - 1,
     ),
     (
-        "the last one drained for too long",
+        "last replica draining for too long",
         [(0, "put", entry("a")), (1, "put", entry("a", draining=True))],
         [SEEN, ChangeKind.DRAINING],
         set(),
-        1 + LAST_RESORT_MS,
+        1 + DRAINING_FALLBACK_MS,
     ),
     (
-        "lapsed and back",
+        "missing and renewed",
         [(0, "put", entry("a")), (1, "remove", "a"), (900, "put", entry("a"))],
         [SEEN, MISSING, RESTORED],
         {"a"},
         900,
     ),
     (
-        "lapsed while held",
-        [(0, "put", entry("a")), (1, "remove", "a"), (HOLD_MS, "expire", None)],
+        "missing within the grace period",
+        [(0, "put", entry("a")), (1, "remove", "a"), (GRACE_PERIOD_MS, "expire", None)],
         [SEEN, MISSING],
         {"a"},
-        HOLD_MS,
+        GRACE_PERIOD_MS,
     ),
     (
-        "lapsed for good",
-        [(0, "put", entry("a")), (1, "remove", "a"), (1 + HOLD_MS, "expire", None)],
+        "missing after the grace period",
+        [
+            (0, "put", entry("a")),
+            (1, "remove", "a"),
+            (1 + GRACE_PERIOD_MS, "expire", None),
+        ],
         [SEEN, MISSING, GONE],
         set(),
-        1 + HOLD_MS,
+        1 + GRACE_PERIOD_MS,
     ),
     (
-        "drained and gone",
+        "draining and removed",
         [
             (0, "put", entry("a")),
             (1, "put", entry("a", draining=True)),
@@ -96,43 +104,43 @@
         2,
     ),
     (
-        "restarted under its name",
-        [(0, "put", entry("a")), (1, "put", entry("a", born=2))],
+        "restarted under the same name",
+        [(0, "put", entry("a")), (1, "put", entry("a", incarnation=2))],
         [SEEN, ChangeKind.RESTARTED],
         {"a"},
         1,
     ),
     (
-        "late entry of an earlier start",
+        "late registration of an earlier start",
         [
-            (0, "put", entry("a", born=2)),
-            (1, "put", entry("a", born=1, draining=True)),
+            (0, "put", entry("a", incarnation=2)),
+            (1, "put", entry("a", incarnation=1, draining=True)),
         ],
         [SEEN],
         {"a"},
         1,
     ),
     (
-        "address taken by another service",
+        "address reused by another service",
         [
             (0, "put", entry("a", address="x:1")),
-            (1, "put", entry("b", born=2, address="x:1", service="t")),
+            (1, "put", entry("b", incarnation=2, address="x:1", service="t")),
         ],
         [SEEN, GONE, SEEN],
         set(),
         1,
     ),
     (
-        "left out of a listing",
+        "absent from a listing",
         [
             (0, "put", entry("a")),
             (0, "put", entry("b")),
             (1, "replace_all", [entry("b")]),
-            (1 + HOLD_MS, "expire", None),
+            (1 + GRACE_PERIOD_MS, "expire", None),
         ],
         [SEEN, SEEN, MISSING, GONE],
         {"b"},
-        1 + HOLD_MS,
+        1 + GRACE_PERIOD_MS,
     ),
 ]
 
@@ -143,6 +151,6 @@
     ids=[case[0] for case in CASES],
 )
 def test_replicas_in_use(steps, kinds, names, now_ms):
-    register, found = run(steps)
-    assert found == kinds
+    register, observed_kinds = run(steps)
+    assert observed_kinds == kinds
     assert {item.name for item in register.replicas_of("s", now_ms)} == names
