--- a/chestnuthall/core/burn/__init__.py
+++ b/chestnuthall/core/burn/__init__.py
@@ -1,4 +1,4 @@
-"""Service-level burn: causes, counts, a ledger of many writers, and rates."""
+"""Error-budget burn: causes, counts, their stored ledger and burn rates."""
 
 from chestnuthall.core.burn._accumulator import BurnAccumulator
 from chestnuthall.core.burn._causes import Cause, cause_of, counts_for_burn
--- a/chestnuthall/core/burn/_causes.py
+++ b/chestnuthall/core/burn/_causes.py
@@ -1,4 +1,4 @@
-"""Whether a request used up error budget, and why."""
+"""Classification of requests that use error budget, by cause."""
 
 from enum import Enum
 from typing import Final
@@ -8,7 +8,7 @@
 
 
 class Cause(Enum):
-    """Why a request was not good."""
+    """Cause of a request that did not meet the objective."""
 
     QUEUE = "queue"
     STRAGGLER = "straggler"
@@ -20,7 +20,7 @@
 
 SUCCESSES: Final = (ResultCode.OK, ResultCode.OK_PARTIAL)
 
-_CAUSES: Final = {
+_CAUSE_BY_RESULT: Final = {
     ResultCode.QUEUE_FULL: Cause.SHED,
     ResultCode.DEADLINE_UNREACHABLE: Cause.SHED,
     ResultCode.RATE_LIMITED: Cause.SHED,
@@ -38,8 +38,8 @@
     ResultCode.CLAIM_UNSETTLED: Cause.STORE,
 }
 
-# Refusals that are the fault of the request itself, not of the service.
-_FAULTS_OF_REQUEST: Final = frozenset(
+# Refusals that are caused by the request itself, not by the service.
+_REQUEST_FAULTS: Final = frozenset(
     {
         ResultCode.QUARANTINED,
         ResultCode.KEY_ALREADY_CLAIMED,
@@ -49,20 +49,23 @@
 
 
 def counts_for_burn(code: int) -> bool:
-    """Return whether a result says anything about the quality of service."""
-    return not 2000 <= code < 3000 and code not in _FAULTS_OF_REQUEST
+    """Return whether a result counts for the service-level objective.
+
+    Results that are caused by the request itself do not.
+    """
+    return not 2000 <= code < 3000 and code not in _REQUEST_FAULTS
 
 
 def cause_of(account: Account, objective: Objective) -> Cause | None:
-    """Return why a request was not good; None for a good one.
+    """Return why a request missed the objective, or None if it met it.
 
-    A late answer counts against the queue if it spent at least half of its
-    time there, and against stragglers otherwise.
+    A late answer is attributed to the queue if the request spent at least half of
+    its time there, and to stragglers otherwise.
     """
     if account.result_code in SUCCESSES:
         total_ms = account.finished_wall_ms - account.arrived_wall_ms
         if total_ms <= objective.latency_ms:
             return None
-        is_queue = account.admission.queued_ms * 2.0 >= total_ms
-        return Cause.QUEUE if is_queue else Cause.STRAGGLER
-    return _CAUSES.get(ResultCode(account.result_code), Cause.OTHER)
+        is_mostly_queued = account.admission.queued_ms * 2.0 >= total_ms
+        return Cause.QUEUE if is_mostly_queued else Cause.STRAGGLER
+    return _CAUSE_BY_RESULT.get(ResultCode(account.result_code), Cause.OTHER)
--- a/chestnuthall/core/burn/_counts.py
+++ b/chestnuthall/core/burn/_counts.py
@@ -1,4 +1,4 @@
-"""Counts of requests per class, slot of time and cause, bounded in size."""
+"""Counts of requests per class, time slot and cause, bounded in size."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -7,21 +7,21 @@
 from chestnuthall.core.burn._causes import Cause
 
 CAUSES: Final = tuple(Cause)
-# Classes beyond this number are counted together, so that the size is bounded.
+# Further classes are counted together, so that the size is bounded.
 N_CLASSES_MAX: Final = 64
 OTHER_CLASSES: Final = "(other)"
 
 
 @dataclass(frozen=True, slots=True)
 class Resolution:
-    """Length of a slot, and how many slots are kept."""
+    """Length of a time slot and the number of slots that are kept."""
 
     slot_ms: int
     n_slots: int
 
 
-# One more slot than the longest window of the resolution needs, because a
-# window begins inside a slot: 5 minutes, 6 hours and 3 days.
+# One slot more than the longest window of the resolution (5 minutes, 6 hours and
+# 3 days), because a window begins inside a slot.
 RESOLUTIONS: Final = (
     Resolution(60_000, 6),
     Resolution(300_000, 73),
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class SlotKey:
-    """A class in one slot of time; ``index`` counts slots since the epoch."""
+    """A class in one time slot; ``index`` counts slots since the epoch."""
 
     class_name: str
     slot_ms: int
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tally:
-    """Requests of a slot; ``n_bad`` is in the order of ``CAUSES``."""
+    """Requests of a slot; ``n_bad`` has one count for each of ``CAUSES``."""
 
     n_requests: int = 0
     n_bad: tuple[int, ...] = (0,) * len(CAUSES)
@@ -52,18 +52,18 @@
 
     @property
     def n_bad_total(self) -> int:
-        """Requests that were not good, whatever the cause."""
+        """Number of requests that missed the objective, over all causes."""
         return sum(self.n_bad)
 
 
 @dataclass(frozen=True, slots=True)
 class BurnCounts:
-    """Tallies per class and slot of each resolution."""
+    """Tallies by class and slot, in each resolution."""
 
     tallies: dict[SlotKey, Tally] = field(default_factory=dict)
 
     def plus(self, other: "BurnCounts") -> "BurnCounts":
-        """Return the sum of two counts, with old slots left out."""
+        """Return the sum of two counts without the slots that are too old."""
         tallies = dict(self.tallies)
         names = {key.class_name for key in tallies}
         for key, tally in other.tallies.items():
@@ -72,28 +72,28 @@
                     key = SlotKey(OTHER_CLASSES, key.slot_ms, key.index)
                 names.add(key.class_name)
             tallies[key] = tallies.get(key, Tally()).plus(tally)
-        return BurnCounts(_without_old_slots(tallies))
+        return BurnCounts(_keep_newest_slots(tallies))
 
     def class_names(self) -> tuple[str, ...]:
         """Return the classes that have counts."""
         return tuple(sorted({key.class_name for key in self.tallies}))
 
 
-def _without_old_slots(tallies: dict[SlotKey, Tally]) -> dict[SlotKey, Tally]:
+def _keep_newest_slots(tallies: dict[SlotKey, Tally]) -> dict[SlotKey, Tally]:
     """Keep the newest slots of each resolution.
 
-    Slots are dropped by number, not by age, so that an instance with a wrong
-    clock cannot erase what the others counted.
+    The number of slots is limited, not their age, so that an instance with a
+    wrong clock cannot erase the counts of the others.
     """
     kept: dict[SlotKey, Tally] = {}
     for resolution in RESOLUTIONS:
-        indices = _newest(tallies, resolution)
+        indices = _newest_indices(tallies, resolution)
         for key, tally in tallies.items():
             if key.slot_ms == resolution.slot_ms and key.index in indices:
                 kept[key] = tally
     return kept
 
 
-def _newest(keys: Iterable[SlotKey], resolution: Resolution) -> set[int]:
+def _newest_indices(keys: Iterable[SlotKey], resolution: Resolution) -> set[int]:
     indices = {key.index for key in keys if key.slot_ms == resolution.slot_ms}
     return set(sorted(indices)[-resolution.n_slots :])
--- a/chestnuthall/core/burn/_ledger.py
+++ b/chestnuthall/core/burn/_ledger.py
@@ -1,4 +1,4 @@
-"""The stored counts of many writers, each change counted once."""
+"""Stored counts of many writers, to which each delta is added at most once."""
 
 from dataclasses import dataclass, field, replace
 from enum import Enum
@@ -6,13 +6,13 @@
 
 from chestnuthall.core.burn._counts import BurnCounts
 
-# One stored object takes the counts of this many instances, which keeps its
-# conditional updates from colliding; 1,900 instances use 30 objects.
-N_INSTANCES_PER_PART: Final = 64
-# Twice the instances of a part, to remember those that were replaced lately.
+# Instances that write to one stored object. The limit keeps their conditional
+# updates from colliding; 1,900 instances use 30 objects.
+N_INSTANCES_PER_PARTITION: Final = 64
+# Twice the instances of a partition, to retain recently replaced ones.
 N_WRITERS_MAX: Final = 128
-# A flush is one read and one write. The fleet makes 17 of them a second at
-# most: 9 instances flush each 15 s, 1,900 instances each 114 s.
+# A flush is one read and one write. The fleet makes at most 17 flushes per second:
+# each of 9 instances flushes every 15 s, each of 1,900 instances every 114 s.
 FLUSH_INTERVAL_MIN_MS: Final = 15_000.0
 FLUSH_INTERVAL_PER_INSTANCE_MS: Final = 60.0
 
@@ -25,25 +25,25 @@
     >>> flush_interval_ms(9), flush_interval_ms(1900)
     (15000.0, 114000.0)
     """
-    wanted_ms = n_instances * FLUSH_INTERVAL_PER_INSTANCE_MS
-    return max(FLUSH_INTERVAL_MIN_MS, wanted_ms)
+    interval_ms = n_instances * FLUSH_INTERVAL_PER_INSTANCE_MS
+    return max(FLUSH_INTERVAL_MIN_MS, interval_ms)
 
 
 def part_of(instance_number: int, n_instances: int) -> int:
-    """Return the part of the stored counts that an instance writes to.
+    """Return the index of the partition that an instance writes to.
 
     Examples
     --------
     >>> part_of(77, 9), part_of(77, 1900)
     (0, 17)
     """
-    n_parts = -(-max(1, n_instances) // N_INSTANCES_PER_PART)
-    return instance_number % n_parts
+    n_partitions = -(-max(1, n_instances) // N_INSTANCES_PER_PARTITION)
+    return instance_number % n_partitions
 
 
 @dataclass(frozen=True, slots=True)
 class WriterMark:
-    """The last change of a writer, and the write of the object it came with."""
+    """Sequence number of a writer's last delta, and the write that added it."""
 
     sequence: int
     n_writes: int
@@ -51,10 +51,10 @@
 
 @dataclass(frozen=True, slots=True)
 class BurnLedger:
-    """Counts with the marks of their writers.
+    """Counts with the last delta of each writer.
 
-    ``n_writes`` counts the writes of the object. ``n_writes_forgotten`` is
-    the highest mark of a writer that was forgotten to bound the size.
+    ``n_writes`` is the number of writes of the object. ``n_writes_forgotten`` is
+    the highest ``n_writes`` of the writers that were evicted to bound the size.
     """
 
     counts: BurnCounts = field(default_factory=BurnCounts)
@@ -67,18 +67,18 @@
 class BurnDelta:
     """Counts of one writer that are to be added once.
 
-    ``first_n_writes`` is the number of the write that the first attempt would
-    have been; 0 before an attempt.
+    ``first_attempt_n_writes`` is the value of ``BurnLedger.n_writes`` that a success of
+    the first attempt would have produced; 0 before the first attempt.
     """
 
     writer: str
     sequence: int
     counts: BurnCounts
-    first_n_writes: int = 0
+    first_attempt_n_writes: int = 0
 
 
 class DeltaDecision(Enum):
-    """What to do with a change."""
+    """What to do with a delta."""
 
     ADD = "add"
     COUNTED_ALREADY = "counted_already"
@@ -86,30 +86,34 @@
 
 
 def decide_delta(ledger: BurnLedger, delta: BurnDelta) -> DeltaDecision:
-    """Decide whether a change has been added already.
+    """Decide whether a delta has been added already.
 
-    Where the mark of a writer was forgotten after its attempt, nothing tells
-    whether the attempt took effect; the change is then given up, because
-    counting too little is better than counting twice.
+    If the mark of a writer was evicted after its attempt, it is unknown whether
+    the attempt took effect. The delta is then discarded, because counting too
+    little is better than counting twice.
     """
     mark = ledger.writers.get(delta.writer)
     if mark is not None and mark.sequence >= delta.sequence:
         return DeltaDecision.COUNTED_ALREADY
-    was_tried = delta.first_n_writes > 0
-    if mark is None and was_tried and delta.first_n_writes <= ledger.n_writes_forgotten:
+    was_attempted = delta.first_attempt_n_writes > 0
+    if (
+        mark is None
+        and was_attempted
+        and delta.first_attempt_n_writes <= ledger.n_writes_forgotten
+    ):
         return DeltaDecision.CANNOT_TELL
     return DeltaDecision.ADD
 
 
 def note_attempt(ledger: BurnLedger, delta: BurnDelta) -> BurnDelta:
-    """Return a change that remembers its first attempt."""
-    if delta.first_n_writes:
+    """Return the delta with its first attempt recorded."""
+    if delta.first_attempt_n_writes:
         return delta
-    return replace(delta, first_n_writes=ledger.n_writes + 1)
+    return replace(delta, first_attempt_n_writes=ledger.n_writes + 1)
 
 
 def add_delta(ledger: BurnLedger, delta: BurnDelta) -> BurnLedger:
-    """Return the ledger with a change that ``decide_delta`` says to add."""
+    """Return the ledger with a delta that ``decide_delta`` says to add."""
     n_writes = ledger.n_writes + 1
     writers = {**ledger.writers, delta.writer: WriterMark(delta.sequence, n_writes)}
     n_forgotten = ledger.n_writes_forgotten
--- a/chestnuthall/core/burn/_report.py
+++ b/chestnuthall/core/burn/_report.py
@@ -1,4 +1,4 @@
-"""Burn rates per class over several windows."""
+"""Burn rates of the error budget per class over several windows."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -6,16 +6,17 @@
 from chestnuthall.core.burn._counts import CAUSES, BurnCounts, SlotKey, Tally
 from chestnuthall.core.model import EnvironmentDocument, Objective
 
-# Burning 14.4 times as fast as allowed for an hour uses 2% of a 30 days' budget.
+# At 14.4 times the allowed rate, one hour uses 2% of the error budget of 30 days.
 FAST_RATE: Final = 14.4
 SLOW_RATE: Final = 1.0
-# With fewer requests in the longer window, a single bad one would raise an alarm.
+# With fewer requests in the longer window, a single bad request would raise an
+# alarm.
 N_REQUESTS_FOR_ALARM: Final = 20
 
 
 @dataclass(frozen=True, slots=True)
 class Window:
-    """A length of time up to now, counted in slots of one resolution."""
+    """A period that ends now, counted in slots of one resolution."""
 
     name: str
     length_ms: int
@@ -34,7 +35,8 @@
 class WindowBurn:
     """Use of the error budget in one window.
 
-    ``rate`` is the part of requests that were bad over the part that may be.
+    ``rate`` is the ratio of bad requests divided by the ratio that the objective
+    allows.
     """
 
     window: str
@@ -46,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SeriesPoint:
-    """Requests of one slot of five minutes, for plots."""
+    """Requests of one five-minute slot, for plots."""
 
     start_wall_ms: float
     n_requests: int
@@ -76,7 +78,7 @@
 
     @property
     def fast_classes(self) -> tuple[str, ...]:
-        """Names of the classes whose budget burns fast."""
+        """Names of the classes with a fast-burn alarm."""
         return tuple(item.class_name for item in self.classes if item.is_fast)
 
 
@@ -109,25 +111,25 @@
         class_name,
         objective,
         windows,
-        is_fast=_alarms(hour, five_minutes, FAST_RATE),
-        is_slow=_alarms(three_days, six_hours, SLOW_RATE),
+        is_fast=_is_alarm_raised(hour, five_minutes, FAST_RATE),
+        is_slow=_is_alarm_raised(three_days, six_hours, SLOW_RATE),
         series=_series(tallies, now_wall_ms),
     )
 
 
-def _alarms(longer: WindowBurn, shorter: WindowBurn, rate: float) -> bool:
-    """Return whether both windows exceed a rate.
+def _is_alarm_raised(longer: WindowBurn, shorter: WindowBurn, rate: float) -> bool:
+    """Return whether the burn rate reaches a threshold in both windows.
 
-    The shorter window ends the alarm soon after the cause has ended.
+    The shorter window ends the alarm soon after its cause has ended.
     """
-    has_enough = longer.n_requests >= N_REQUESTS_FOR_ALARM
-    return has_enough and longer.rate >= rate and shorter.rate >= rate
+    has_enough_requests = longer.n_requests >= N_REQUESTS_FOR_ALARM
+    return has_enough_requests and longer.rate >= rate and shorter.rate >= rate
 
 
 def _slots_within(
     tallies: dict[SlotKey, Tally], slot_ms: int, length_ms: int, now_wall_ms: float
 ) -> list[tuple[SlotKey, Tally]]:
-    """Return the slots of a window; slots of the future are left out."""
+    """Return the slots of a window without slots in the future."""
     last = int(now_wall_ms // slot_ms)
     first = int((now_wall_ms - length_ms) // slot_ms)
     return [
--- a/chestnuthall/core/burn/tests/test_burn.py
+++ b/chestnuthall/core/burn/tests/test_burn.py
@@ -1,4 +1,8 @@
-"""Guards the counts that burn rates are computed from, and the alarms."""
+"""Tests of the counts from which burn rates are computed, and of the alarms.
+
+They guard against lost or doubled counts, wrong causes, and alarms that are
+missed or outlast their cause.
+"""
 
 import pytest
 
@@ -69,7 +73,7 @@
 
 @pytest.mark.parametrize(("code", "total_ms", "queued_ms", "cause"), CAUSES)
 def test_cause(code, total_ms, queued_ms, cause):
-    """Guards against budget charged to the wrong part of the system."""
+    """Guards against burn that is attributed to the wrong cause."""
     found = cause_of(account(code, total_ms, queued_ms), Objective(200.0, 0.99))
     assert found is cause
     assert counts_for_burn(code)
@@ -89,15 +93,16 @@
     return pending.take()
 
 
-# (case, age of the requests, good, bad, rates of 5m 1h 6h 3d, fast, slow)
+# (case, age of the requests, number of good and bad ones, rates over 5m, 1h, 6h
+# and 3d, fast alarm, slow alarm)
 RATES = [
     ("all good", 0.0, 100, 0, [0.0, 0.0, 0.0, 0.0], False, False),
     ("fast", 0.0, 80, 20, [20.0, 20.0, 20.0, 20.0], True, True),
     ("slow only", 0.0, 95, 5, [5.0, 5.0, 5.0, 5.0], False, True),
-    ("over for an hour", 1.2 * HOUR_MS, 80, 20, [0.0, 0.0, 20.0, 20.0], False, True),
-    ("over for a day", 24 * HOUR_MS, 80, 20, [0.0, 0.0, 0.0, 20.0], False, False),
-    ("too old", 74 * HOUR_MS, 80, 20, [0.0, 0.0, 0.0, 0.0], False, False),
-    ("a clock ahead", -2 * HOUR_MS, 80, 20, [0.0, 0.0, 0.0, 0.0], False, False),
+    ("ended 1.2 h ago", 1.2 * HOUR_MS, 80, 20, [0.0, 0.0, 20.0, 20.0], False, True),
+    ("ended 24 h ago", 24 * HOUR_MS, 80, 20, [0.0, 0.0, 0.0, 20.0], False, False),
+    ("older than 3 days", 74 * HOUR_MS, 80, 20, [0.0, 0.0, 0.0, 0.0], False, False),
+    ("fast clock", -2 * HOUR_MS, 80, 20, [0.0, 0.0, 0.0, 0.0], False, False),
     ("too few for an alarm", 0.0, 10, 9, [47.368] * 4, False, False),
 ]
 
@@ -108,7 +113,7 @@
     ids=[case[0] for case in RATES],
 )
 def test_rates_and_alarms(age_ms, n_good, n_bad, rates, is_fast, is_slow):
-    """Guards against an alarm that is missed, or that outlives its cause."""
+    """Guards against an alarm that is missed or outlasts its cause."""
     document = EnvironmentDocument(
         classes=(
             CallerClass(
@@ -129,7 +134,7 @@
 
 
 def test_counts_are_bounded_and_a_wrong_clock_erases_little():
-    """Guards against objects that outgrow the store, and against lost counts."""
+    """Guards against objects too large for the store, and against lost counts."""
     pending = BurnAccumulator()
     for minute in range(5 * 24 * 60):
         pending.add("clerk", None, NOW_MS + minute * 60_000.0)
@@ -143,17 +148,17 @@
     assert len(counts.plus(pending.take()).class_names()) <= 65
 
 
-def test_change_is_added_once_or_given_up():
-    """Guards against a change counted twice after its mark was forgotten."""
+def test_delta_is_added_at_most_once():
+    """Guards against a delta that is counted twice after its mark was evicted."""
     delta = BurnDelta("me", 1, counts_at(NOW_MS, 1, 0))
     assert decide_delta(BurnLedger(), delta) is DeltaDecision.ADD
-    tried = note_attempt(BurnLedger(), delta)
-    ledger = add_delta(BurnLedger(), tried)
-    assert decide_delta(ledger, tried) is DeltaDecision.COUNTED_ALREADY
+    attempted = note_attempt(BurnLedger(), delta)
+    ledger = add_delta(BurnLedger(), attempted)
+    assert decide_delta(ledger, attempted) is DeltaDecision.COUNTED_ALREADY
     later = BurnDelta("me", 2, delta.counts)
     assert decide_delta(ledger, later) is DeltaDecision.ADD
     for number in range(N_WRITERS_MAX):
         ledger = add_delta(ledger, BurnDelta(f"w{number}", 1, BurnCounts()))
     assert "me" not in ledger.writers
-    assert decide_delta(ledger, tried) is DeltaDecision.CANNOT_TELL
+    assert decide_delta(ledger, attempted) is DeltaDecision.CANNOT_TELL
     assert decide_delta(ledger, later) is DeltaDecision.ADD
