--- a/chestnuthall/ports/__init__.py
+++ b/chestnuthall/ports/__init__.py
@@ -1,4 +1,4 @@
-"""Protocols through which the services reach the outside."""
+"""Ports: protocols between the services and the adapters, and their data."""
 
 from chestnuthall.ports._clock import (
     Clock,
--- a/chestnuthall/ports/_clock.py
+++ b/chestnuthall/ports/_clock.py
@@ -4,10 +4,10 @@
 
 
 class Clock(Protocol):
-    """Source of time and of delays, in milliseconds.
+    """Source of time and delays, in milliseconds.
 
-    ``now_ms`` is monotonic and starts anywhere; ``wall_ms`` counts from the
-    epoch and may jump.
+    ``now_ms`` is monotonic with an arbitrary origin; ``wall_ms`` is relative to
+    the epoch and may jump.
     """
 
     def now_ms(self) -> float:
@@ -15,9 +15,9 @@
         ...
 
     def wall_ms(self) -> float:
-        """Return the time since the epoch."""
+        """Return the wall-clock time since the epoch."""
         ...
 
     async def sleep_ms(self, duration_ms: float) -> None:
-        """Wait for a duration; a negative one returns at the next turn."""
+        """Sleep for a duration; if negative, only until the next loop iteration."""
         ...
--- a/chestnuthall/ports/_driving.py
+++ b/chestnuthall/ports/_driving.py
@@ -1,4 +1,4 @@
-"""What the front ends call: the services, as seen from outside."""
+"""Driving ports: interfaces of the services that the front ends call."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -17,7 +17,7 @@
 
 
 class ConfigurationReceiver(Protocol):
-    """Takes configurations that operators or peers announce."""
+    """Receives configurations that operators or peers announce."""
 
     @property
     def revision(self) -> int:
@@ -25,32 +25,32 @@
         ...
 
     def offer_text(self, text: str, source: str) -> RevisionDecision | Failure:
-        """Read a stored configuration and apply it if it is newer."""
+        """Decode a stored configuration and apply it if it is newer."""
         ...
 
 
 class RequestTracker(Protocol):
-    """Knows the requests in flight and whether the instance is leaving."""
+    """Tracks the requests in flight and whether the instance is leaving."""
 
     @property
     def is_leaving(self) -> bool:
-        """Whether a stop was announced."""
+        """Whether a graceful stop has begun."""
         ...
 
     def begin_request(self) -> None:
-        """Note a request that has begun."""
+        """Record the start of a request."""
         ...
 
     def end_request(self) -> None:
-        """Note a request that has ended."""
+        """Record the end of a request."""
         ...
 
 
 class CallerListener(Protocol):
-    """The listener for callers, as a graceful stop uses it."""
+    """Operations of the callers' listener for a graceful stop."""
 
     def announce_close(self) -> None:
-        """Tell each caller with its next response to close its connection."""
+        """Close each connection with its next response, which announces the close."""
         ...
 
     async def stop_listening(self) -> None:
@@ -58,13 +58,16 @@
         ...
 
     async def wait_closed(self, linger_ms: float) -> None:
-        """Wait for all requests that run, then at most a while for the rest."""
+        """Wait for all running requests, then up to ``linger_ms`` for the rest.
+
+        The rest are unread responses and incomplete requests.
+        """
         ...
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class QuarantineView:
-    """One request that has cost replicas, as operators see it."""
+    """A suspected or quarantined request, as shown to operators."""
 
     fingerprint: str
     replica_names: tuple[str, ...]
@@ -73,24 +76,24 @@
 
 
 class InstanceAdministration(Protocol):
-    """What operators do to one instance."""
+    """Operations of operators on one instance."""
 
     def drain_instance(self, name: str) -> Failure | None:
-        """Begin a graceful stop, if the name is that of this instance."""
+        """Begin a graceful stop if the name is that of this instance."""
         ...
 
     def drain_replica(self, name: str) -> Failure | None:
-        """Stop new calls to a replica over the whole fleet, if it is known."""
+        """Stop new calls from the whole fleet to a replica, if it is known."""
         ...
 
     def resume_replica(self, name: str) -> None:
-        """End the drain of a replica, whatever began it."""
+        """End the drain of a replica, regardless of its cause."""
         ...
 
     def quarantines(self) -> tuple[QuarantineView, ...]:
-        """Return the requests that have cost replicas."""
+        """Return the suspected and quarantined requests."""
         ...
 
     async def lift_quarantine(self, fingerprint: str) -> Failure | None:
-        """Let a request run again over the whole fleet."""
+        """Lift the quarantine of a request over the whole fleet."""
         ...
--- a/chestnuthall/ports/_feeds.py
+++ b/chestnuthall/ports/_feeds.py
@@ -1,4 +1,4 @@
-"""What instances hand one another of the objects that they have read."""
+"""Feeds, through which instances exchange objects that they have read."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -9,9 +9,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FeedAnswer:
-    """Changes, or all objects of a kind, and when the store confirmed them.
+    """Changes, or all objects of a kind, and the age of that state.
 
-    ``age_ms`` is the time since the store said that nothing else has changed.
+    ``age_ms`` is the time since the store last confirmed that the state is
+    current.
     """
 
     batch: WatchBatch
@@ -19,14 +20,15 @@
 
 
 class PeerFeeds(Protocol):
-    """Reads the objects that peers know."""
+    """Reads objects from peers."""
 
     async def watch(
         self, address: str, kind: str, after_version: int, timeout_ms: float
     ) -> FeedAnswer | Failure:
-        """Wait for changes after a version; an empty batch on timeout.
+        """Wait for changes after a version; return an empty batch on timeout.
 
-        A peer that does not read the store itself, or has no news of it, refuses.
+        A peer refuses if it does not read the store itself, or if the store has not
+        confirmed its state recently.
         """
         ...
 
@@ -38,14 +40,14 @@
 
 
 class FeedSource(Protocol):
-    """Objects of one kind that this instance hands to its peers."""
+    """Objects of one kind that this instance provides to its peers."""
 
     async def watch(
         self, after_version: int, timeout_ms: float
     ) -> FeedAnswer | Failure:
-        """Return the changes after a version once there are any, or nothing."""
+        """Wait for changes after a version; return an empty batch on timeout."""
         ...
 
     def snapshot(self) -> FeedAnswer:
-        """Return all objects with the version from which to follow."""
+        """Return all objects and the version from which to watch."""
         ...
--- a/chestnuthall/ports/_instances.py
+++ b/chestnuthall/ports/_instances.py
@@ -5,7 +5,7 @@
 
 
 class InstanceRole(Enum):
-    """What an instance of the list does."""
+    """Role of an instance in the platform's list."""
 
     ENTRY = "entry"
     UPSTREAM = "upstream"
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListEntry:
-    """One instance as the platform lists it; the list lags.
+    """One instance in the platform's list, which may be out of date.
 
     The name of an upstream is the name of its replica. ``peer_address`` is
     empty for an upstream.
--- a/chestnuthall/ports/_metrics.py
+++ b/chestnuthall/ports/_metrics.py
@@ -4,7 +4,7 @@
 
 
 class Metrics(Protocol):
-    """Counts, gauges and durations; never blocks and never fails."""
+    """Sink for counters, gauges and durations; never blocks and never raises."""
 
     def count(self, name: str, n: int = 1) -> None:
         """Add to a counter."""
--- a/chestnuthall/ports/_objects.py
+++ b/chestnuthall/ports/_objects.py
@@ -1,4 +1,4 @@
-"""The platform's object API."""
+"""Port to the platform's object store."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -8,12 +8,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredObject:
-    """An object of the platform with the version of its last write.
+    """An object of the store with the version of its last write.
 
-    Versions are positive and grow with every write to any object of the kind.
+    Versions are positive and increase with every write to any object of the kind.
     ``value`` is the body, JSON text of at most one megabyte. ``seen_version`` is
-    the store's version when it was read, from which a watch may start; 0 where
-    the store does not say.
+    the store's version at the time of the read, from which a watch may start; 0 if
+    the store does not report it.
     """
 
     kind: str
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchBatch:
-    """Changes after a version; ``version`` is where the next watch starts."""
+    """Changes after a version; the next watch starts at ``version``."""
 
     version: int
     changed: tuple[StoredObject, ...]
@@ -36,10 +36,10 @@
     """Objects with versions, conditional updates and watches.
 
     Failures: ``OBJECT_NOT_FOUND``, ``OBJECT_CONFLICT``, ``RATE_LIMITED``,
-    ``INVALID_REQUEST`` and ``STORE_UNAVAILABLE`` say that a write had no
-    effect; ``STORE_WRITE_UNKNOWN`` says that it may have had one, now or later.
-    A watch fails with ``HISTORY_TRIMMED`` where the changes after its version
-    are no longer kept; the client then reads the objects again.
+    ``INVALID_REQUEST`` and ``STORE_UNAVAILABLE`` mean that a write had no
+    effect; ``STORE_WRITE_UNKNOWN`` means that it may have taken effect or may do
+    so later. A watch fails with ``HISTORY_TRIMMED`` if the changes after its
+    version are no longer retained; the client then reads the objects again.
     """
 
     async def get(
@@ -57,13 +57,13 @@
     async def create(
         self, kind: str, name: str, value: str, timeout_ms: float
     ) -> StoredObject | Failure:
-        """Write an object that must not exist yet."""
+        """Create an object that must not exist yet."""
         ...
 
     async def update(
         self, kind: str, name: str, value: str, version: int, timeout_ms: float
     ) -> StoredObject | Failure:
-        """Write an object whose version must still be ``version``."""
+        """Update an object whose version must still be ``version``."""
         ...
 
     async def delete(
@@ -75,5 +75,5 @@
     async def watch(
         self, kind: str, after_version: int, timeout_ms: float
     ) -> WatchBatch | Failure:
-        """Wait for changes of a kind after a version; an empty batch on timeout."""
+        """Wait for changes after a version; return an empty batch on timeout."""
         ...
--- a/chestnuthall/ports/_operators.py
+++ b/chestnuthall/ports/_operators.py
@@ -1,4 +1,4 @@
-"""What the operators' tool asks of instances, and of stored texts."""
+"""Ports of the operators' tool: instances and stored documents."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -20,10 +20,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class InstanceStatus:
-    """What an instance says about itself.
+    """Status that an instance reports about itself.
 
-    ``n_by_result`` counts requests by name of result since the configuration
-    came into force.
+    ``n_by_result`` is the number of requests by result name since the
+    configuration came into force.
     """
 
     name: str
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuarantineEntry:
-    """A fingerprint that an instance suspects or refuses."""
+    """A fingerprint that an instance suspects or has quarantined."""
 
     fingerprint: str
     replica_names: tuple[str, ...]
@@ -49,56 +49,56 @@
 
 
 class InstanceAdmin(Protocol):
-    """The operators' interface of an instance; every failure is returned."""
+    """Client of an instance's operator interface; returns every failure."""
 
     async def status(self, address: str, timeout_ms: float) -> InstanceStatus | Failure:
         """Return the status of an instance."""
         ...
 
     async def upstream_state(self, address: str, timeout_ms: float) -> str | Failure:
-        """Return ready, draining or unwell, as an upstream itself says."""
+        """Return the state that an upstream reports: ready, draining or unwell."""
         ...
 
     async def announce(
         self, address: str, stored_text: str, timeout_ms: float
     ) -> int | Failure:
-        """Offer an accepted configuration; return the revision then in force."""
+        """Send an accepted configuration; return the revision then in force."""
         ...
 
     async def drain_instance(
         self, address: str, name: str, timeout_ms: float
     ) -> Failure | None:
-        """Let an instance leave; the name must be its own."""
+        """Begin the graceful stop of an instance; the name must be its own."""
         ...
 
     async def drain_replica(
         self, address: str, name: str, timeout_ms: float
     ) -> Failure | None:
-        """Stop new calls to a replica; the instance tells its peers."""
+        """Stop new calls to a replica; the instance notifies its peers."""
         ...
 
     async def quarantines(
         self, address: str, timeout_ms: float
     ) -> tuple[QuarantineEntry, ...] | Failure:
-        """Return the fingerprints that an instance suspects or refuses."""
+        """Return the fingerprints that an instance suspects or has quarantined."""
         ...
 
     async def lift_quarantine(
         self, address: str, fingerprint: str, timeout_ms: float
     ) -> bool | Failure:
-        """Forget a fingerprint; return whether the instance knew it."""
+        """Lift a quarantine; return whether the instance knew the fingerprint."""
         ...
 
 
 class RevisionCodec(Protocol):
-    """Text forms of a revision and of a history."""
+    """Encodes and decodes the stored texts of revisions and histories."""
 
     def encode_record(self, record: RevisionRecord) -> str:
         """Return the text of an ``environments`` object."""
         ...
 
     def decode_record(self, text: str) -> RevisionRecord | Failure:
-        """Check the text of an ``environments`` object, its digest included."""
+        """Decode the text of an ``environments`` object and verify its digest."""
         ...
 
     def encode_history(self, history: History) -> str:
@@ -106,5 +106,5 @@
         ...
 
     def decode_history(self, text: str) -> History | Failure:
-        """Check the text of an ``environment-history`` object."""
+        """Decode and validate the text of an ``environment-history`` object."""
         ...
--- a/chestnuthall/ports/_peers.py
+++ b/chestnuthall/ports/_peers.py
@@ -9,9 +9,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberUpdate:
-    """News about one instance; a higher incarnation replaces a lower one.
+    """Membership update about one instance.
 
-    ``state`` is one of alive, suspect, leaving and dead.
+    ``state`` is one of alive, suspect, leaving and dead. An update with a higher
+    incarnation replaces one with a lower.
     """
 
     name: str
@@ -25,9 +26,10 @@
 class ClassUse:
     """Use of a group by a class on one instance, counted in shard calls.
 
-    ``served_cost`` grows over the life of the instance; ``demand_cost`` is what
-    callers asked for over the last seconds. The incarnation is the wall time at
-    which the instance started, and the sequence the milliseconds since then.
+    ``served_cost`` accumulates from the start of the instance; ``demand_cost`` is
+    the demand of callers over the last seconds. The incarnation is the wall-clock
+    time at which the instance started, and the sequence is the number of
+    milliseconds since then.
     """
 
     instance: str
@@ -41,11 +43,11 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainNotice:
-    """A replica that takes no new calls until ``expires_in_ms`` has passed.
+    """A replica that is sent no new calls until ``expires_in_ms`` has passed.
 
-    A higher ``sequence`` replaces a lower one. ``signal`` says what showed the
-    drain: list, answer, health, refused or operator. ``is_over`` says that the
-    replica takes calls again.
+    A notice with a higher ``sequence`` replaces one with a lower. ``signal`` is the
+    source of the information: list, answer, health, refused or operator.
+    ``is_over`` means that the replica accepts calls again.
     """
 
     replica_name: str
@@ -59,8 +61,8 @@
 class QuarantineNotice:
     """A request fingerprint with the replicas that were lost to it.
 
-    No replica names say that the quarantine was lifted. A higher ``sequence``
-    replaces a lower one.
+    A notice without replica names means that the quarantine was lifted. A notice
+    with a higher ``sequence`` replaces one with a lower.
     """
 
     fingerprint: str
@@ -71,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PeerDigest:
-    """What one instance tells another with each probe."""
+    """State that one instance sends to another with each probe."""
 
     sender: str
     sender_address: str
@@ -86,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerConfiguration:
-    """The document that a peer has in force."""
+    """The configuration that a peer has in force."""
 
     environment: str
     revision: int
@@ -96,10 +98,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ShardSetCall:
-    """A search of some shards of one snapshot, run by a peer.
+    """A search of a shard set of one snapshot, run by a peer.
 
-    ``remaining_ms`` is what is left of the caller's deadline, because clocks
-    of instances differ.
+    ``remaining_ms`` is the time left until the caller's deadline. It is a duration
+    because the clocks of instances differ.
     """
 
     call_id: str
@@ -114,7 +116,7 @@
 
 
 class PeerTransport(Protocol):
-    """Calls to other entry instances; every failure is returned."""
+    """Client for calls to other entry instances; returns every failure."""
 
     async def exchange(
         self, address: str, digest: PeerDigest, timeout_ms: float
@@ -125,7 +127,7 @@
     async def probe_for(
         self, address: str, target_address: str, timeout_ms: float
     ) -> bool | Failure:
-        """Ask a peer to probe another one; return whether that one answered."""
+        """Probe an instance through a peer; return whether the instance answered."""
         ...
 
     async def fetch_configuration(
@@ -137,15 +139,15 @@
     async def query_shards(
         self, address: str, call: ShardSetCall, timeout_ms: float
     ) -> PartialAnswer | Failure:
-        """Ask a peer to answer for a set of shards."""
+        """Run a search of a shard set on a peer."""
         ...
 
 
 class PeerService(Protocol):
-    """What the server for peers calls on this instance."""
+    """Operations of this instance that its server for peers calls."""
 
     async def receive(self, digest: PeerDigest) -> PeerDigest:
-        """Take in the digest of a peer and return the own one."""
+        """Process the digest of a peer and return that of this instance."""
         ...
 
     async def probe_for(self, target_address: str) -> bool:
@@ -157,5 +159,5 @@
         ...
 
     async def query_shards(self, call: ShardSetCall) -> PartialAnswer | Failure:
-        """Answer for a set of shards; the sum of such answers is the whole one."""
+        """Search a shard set; the answers of all sets merge into the complete one."""
         ...
--- a/chestnuthall/ports/_shards.py
+++ b/chestnuthall/ports/_shards.py
@@ -10,14 +10,14 @@
 class ShardCaller(Protocol):
     """Runs shard calls. Cancelling the awaiting task cancels the call.
 
-    A failure's kind says whether the replica can have begun the call:
-    ``NO_REPLICA``, ``CONNECTION_REFUSED`` and ``DEADLINE_PASSED`` (nothing was
-    written), ``SHED_BY_UPSTREAM`` and ``SNAPSHOT_GONE`` say that it did not; any
-    other that it may have.
+    The kind of a failure tells whether the replica may have started the call. It
+    has not with ``NO_REPLICA``, ``CONNECTION_REFUSED``, ``DEADLINE_PASSED``
+    (nothing was written), ``SHED_BY_UPSTREAM`` and ``SNAPSHOT_GONE``; with any
+    other kind it may have.
     """
 
     async def call(self, call: ShardCall) -> ShardAnswer | Failure:
-        """Run one call and return the whole answer that echoes its id."""
+        """Run one call and return the complete answer that echoes its id."""
         ...
 
     def set_connection_budget(
@@ -27,27 +27,28 @@
         kept_ratio: float = 1.0,
         n_near: int | None = None,
     ) -> None:
-        """Set how many connections may be open to each replica of a group.
+        """Set the maximum number of connections to each replica of a group.
 
-        ``kept_ratio`` is the part of the replicas to which one stays open when
-        there is less than one for each instance. ``n_near`` is the number for
-        replicas in the instance's own zone, where they have one of their own.
+        ``kept_ratio`` is the fraction of the replicas to which a connection stays
+        open if a replica allows fewer connections than there are instances.
+        ``n_near`` is the maximum for replicas in the instance's own zone, or None
+        if it does not differ.
         """
         ...
 
 
 class MapFetcher(Protocol):
-    """Asks replicas for their partition maps."""
+    """Fetches partition maps from replicas."""
 
     async def fetch_partition_map(
         self, replica: Replica, timeout_ms: float
     ) -> PartitionMap | Failure:
-        """Return the newest partition map that a replica knows."""
+        """Return the newest partition map that a replica has."""
         ...
 
 
 class MapFetchingCaller(ShardCaller, MapFetcher, Protocol):
-    """Calls replicas that have partition maps."""
+    """Runs shard calls and fetches partition maps."""
 
 
 CallListener = Callable[[ShardAnswer | Failure], None]
@@ -56,21 +57,21 @@
 
 @runtime_checkable
 class DirectShardCaller(Protocol):
-    """Starts a call without a task where nothing has to be waited for.
+    """Starts a call without creating a task if it need not wait.
 
-    The listener is called once, unless the call is cancelled before.
+    The listener is called once, unless the call is cancelled first.
     """
 
     def begin(self, call: ShardCall, on_result: CallListener) -> CancelCall | None:
-        """Start a call and return its cancellation; None if it has to wait."""
+        """Start a call; return a function that cancels it, or None if it must wait."""
         ...
 
 
 class ReplicaHealth(Protocol):
-    """Health checks of replicas; a hint only, since health reports lag."""
+    """Health checks of replicas; only a hint, because health reports lag."""
 
     async def check_health(
         self, group: str, replica: Replica, timeout_ms: float
     ) -> bool | Failure:
-        """Return whether the replica says that it drains."""
+        """Return whether the replica reports that it is draining."""
         ...
