--- a/chestnuthall/core/drains/_events.py
+++ b/chestnuthall/core/drains/_events.py
@@ -1,4 +1,4 @@
-"""Events that the drain register handles and actions that it returns."""
+"""Events that the drain registry handles and actions that it returns."""
 
 from dataclasses import dataclass
 from enum import Enum
--- a/chestnuthall/core/drains/_register.py
+++ b/chestnuthall/core/drains/_register.py
@@ -1,4 +1,4 @@
-"""Register of the drain notices that an instance knows."""
+"""Registry of the drain notices that an instance knows."""
 
 from dataclasses import dataclass, field
 from functools import singledispatchmethod
--- a/chestnuthall/core/drains/tests/test_register.py
+++ b/chestnuthall/core/drains/tests/test_register.py
@@ -132,11 +132,11 @@
 )
 def test_signals_that_end_a_drain(started_by, recovered_by, is_resumed):
     """A healthy report must not end a drain that the replica does not know of."""
-    register = DrainRegister()
-    register.handle(Signalled(0.0, 1e12, "r", started_by))
-    actions = register.handle(CameBack(100.0, 1e12, "r", recovered_by, 50.0))
+    registry = DrainRegister()
+    registry.handle(Signalled(0.0, 1e12, "r", started_by))
+    actions = registry.handle(CameBack(100.0, 1e12, "r", recovered_by, 50.0))
     assert (ResumeCalls("r") in actions) is is_resumed
-    assert (not register.active(100.0)) is is_resumed
+    assert (not registry.active(100.0)) is is_resumed
 
 
 @pytest.mark.parametrize(
@@ -144,20 +144,20 @@
 )
 def test_lagging_health_does_not_end_a_drain(shown_in_health, is_resumed):
     """A health endpoint that does not show the drain yet must not end it."""
-    register = DrainRegister()
-    register.handle(Signalled(0.0, 1e12, "r", DrainSignal.ANSWER))
+    registry = DrainRegister()
+    registry.handle(Signalled(0.0, 1e12, "r", DrainSignal.ANSWER))
     if shown_in_health:
-        register.handle(Signalled(1_000.0, 1e12, "r", HEALTH))
-    actions = register.handle(CameBack(2_000.0, 1e12, "r", HEALTH, 1_900.0))
+        registry.handle(Signalled(1_000.0, 1e12, "r", HEALTH))
+    actions = registry.handle(CameBack(2_000.0, 1e12, "r", HEALTH, 1_900.0))
     assert (ResumeCalls("r") in actions) is is_resumed
 
 
 def test_only_the_first_notice_is_urgent():
     """Repeated signals of one drain must not each trigger an exchange."""
-    register = DrainRegister()
-    first = register.handle(Signalled(0.0, 1e12, "r", HEALTH))
-    again = register.handle(Signalled(5_000.0, 1e12, "r", HEALTH))
-    renewed = register.handle(Signalled(16_000.0, 1e12, "r", HEALTH))
+    registry = DrainRegister()
+    first = registry.handle(Signalled(0.0, 1e12, "r", HEALTH))
+    again = registry.handle(Signalled(5_000.0, 1e12, "r", HEALTH))
+    renewed = registry.handle(Signalled(16_000.0, 1e12, "r", HEALTH))
     assert first == [StopCalls("r", 30_000.0), SpreadNews()]
     assert again == []
     assert renewed == [StopCalls("r", 46_000.0)]
@@ -167,23 +167,23 @@
 def test_slow_echoes_do_not_keep_a_drain_alive(n_instances):
     """A notice forwarded around a ring with long delays must still expire."""
     unbounded = DrainSettings(n_transmissions_max=10_000)
-    registers = [DrainRegister(unbounded) for _ in range(n_instances)]
-    registers[0].handle(Signalled(0.0, 1e12, "r", HEALTH))
+    registries = [DrainRegister(unbounded) for _ in range(n_instances)]
+    registries[0].handle(Signalled(0.0, 1e12, "r", HEALTH))
     now_ms, index = 0.0, 0
     while now_ms < 120_000.0:
-        notices = registers[index].take_notices(now_ms)
+        notices = registries[index].take_notices(now_ms)
         assert all(notice.remaining_ms >= 1_000.0 for notice in notices)
         now_ms += 430.0
         index = (index + 1) % n_instances
-        registers[index].handle(NoticesReceived(now_ms, notices))
+        registries[index].handle(NoticesReceived(now_ms, notices))
         if now_ms > LIFETIME_MS + n_instances * DELAY_MAX_MS:
-            assert not any(register.active(now_ms) for register in registers)
+            assert not any(registry.active(now_ms) for registry in registries)
 
 
 @pytest.mark.parametrize(("began_ms", "is_ended"), [(900.0, False), (1_100.0, True)])
 def test_check_that_began_before_the_drain_does_not_end_it(began_ms, is_ended):
     """A slow health check must not end a drain that was signalled meanwhile."""
-    register = DrainRegister()
-    register.handle(Signalled(1_000.0, 1e12, "r", HEALTH))
-    register.handle(CameBack(1_200.0, 1e12, "r", HEALTH, began_ms))
-    assert (not register.active(1_200.0)) is is_ended
+    registry = DrainRegister()
+    registry.handle(Signalled(1_000.0, 1e12, "r", HEALTH))
+    registry.handle(CameBack(1_200.0, 1e12, "r", HEALTH, began_ms))
+    assert (not registry.active(1_200.0)) is is_ended
--- a/chestnuthall/core/quarantine/tests/test_register.py
+++ b/chestnuthall/core/quarantine/tests/test_register.py
@@ -10,31 +10,31 @@
 from chestnuthall.core.quarantine import QuarantineRegister, QuarantineSettings
 
 
-def lose_replica(register, number, started_ms, now_ms, **options):
+def lose_replica(registry, number, started_ms, now_ms, **options):
     replica = Replica(f"r{number}", f"r{number}", "z")
-    register.record_loss("f", replica, f"s{number}", now_ms, started_ms, **options)
+    registry.record_loss("f", replica, f"s{number}", now_ms, started_ms, **options)
 
 
 def test_losses_of_a_cleared_wave_are_not_counted_again():
     """Connections that a failing zone closes one by one must not add up."""
-    register = QuarantineRegister(QuarantineSettings())
-    lose_replica(register, 0, 0.0, 10.0)
-    register.clear("f", 20.0)
+    registry = QuarantineRegister(QuarantineSettings())
+    lose_replica(registry, 0, 0.0, 10.0)
+    registry.clear("f", 20.0)
     for number in range(1, 6):
-        lose_replica(register, number, 5.0, 20.0 + number)
-        assert not register.is_suspected("f", 20.0 + number)
-    lose_replica(register, 9, 30.0, 40.0)
-    assert register.is_suspected("f", 40.0)
+        lose_replica(registry, number, 5.0, 20.0 + number)
+        assert not registry.is_suspected("f", 20.0 + number)
+    lose_replica(registry, 9, 30.0, 40.0)
+    assert registry.is_suspected("f", 40.0)
 
 
 def test_request_that_crashes_only_some_runs_is_quarantined():
     """A request that crashes only some runs must not be cleared indefinitely."""
-    register = QuarantineRegister(QuarantineSettings())
+    registry = QuarantineRegister(QuarantineSettings())
     for number in range(2):
-        lose_replica(register, number, 100.0 * number, 100.0 * number + 1.0)
-        register.clear("f", 100.0 * number + 50.0)
-    lose_replica(register, 2, 200.0, 201.0)
-    assert register.is_quarantined("f", 202.0)
+        lose_replica(registry, number, 100.0 * number, 100.0 * number + 1.0)
+        registry.clear("f", 100.0 * number + 50.0)
+    lose_replica(registry, 2, 200.0, 201.0)
+    assert registry.is_quarantined("f", 202.0)
 
 
 @pytest.mark.parametrize(
@@ -47,18 +47,18 @@
 )
 def test_merge_of_a_peer_notice(names, expires_ms, is_suspected, is_quarantined):
     """A peer's suspicion must not count as a quarantine, nor add up to one."""
-    register = QuarantineRegister(QuarantineSettings())
-    register.merge("f", ("r7",), 99.0, 9.0)
-    register.merge("f", names, expires_ms, 10.0)
-    assert register.is_suspected("f", 11.0) == is_suspected
-    assert register.is_quarantined("f", 11.0) == is_quarantined
-    assert not register.try_hold("f", "other", 11.0)
+    registry = QuarantineRegister(QuarantineSettings())
+    registry.merge("f", ("r7",), 99.0, 9.0)
+    registry.merge("f", names, expires_ms, 10.0)
+    assert registry.is_suspected("f", 11.0) == is_suspected
+    assert registry.is_quarantined("f", 11.0) == is_quarantined
+    assert not registry.try_hold("f", "other", 11.0)
 
 
 def test_quarantine_expires():
     """A quarantined request must be admitted again after the quarantine time."""
-    register = QuarantineRegister(QuarantineSettings(quarantine_ms=100.0))
-    lose_replica(register, 0, 0.0, 10.0)
-    lose_replica(register, 1, 11.0, 20.0, is_probe=True)
-    assert register.is_quarantined("f", 21.0)
-    assert not register.is_quarantined("f", 121.0)
+    registry = QuarantineRegister(QuarantineSettings(quarantine_ms=100.0))
+    lose_replica(registry, 0, 0.0, 10.0)
+    lose_replica(registry, 1, 11.0, 20.0, is_probe=True)
+    assert registry.is_quarantined("f", 21.0)
+    assert not registry.is_quarantined("f", 121.0)
--- a/chestnuthall/core/registry/_register.py
+++ b/chestnuthall/core/registry/_register.py
@@ -1,4 +1,4 @@
-"""Register of the replicas of each service, updated from their registrations."""
+"""Registry of the replicas of each service, updated from their registrations."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 class Registration:
     """State that a replica announces about itself.
 
-    ``warm_up_left_ms`` is the remaining time of its slow phase after the start.
+    ``warm_up_left_ms`` is the remaining ramp-up time after its start.
     """
 
     replica: Replica
--- a/chestnuthall/core/registry/tests/test_register.py
+++ b/chestnuthall/core/registry/tests/test_register.py
@@ -19,15 +19,15 @@
 
 
 def run(steps):
-    """Apply steps of (time, method, argument); return register and kinds of change."""
-    register = ReplicaRegister(GRACE_PERIOD_MS)
+    """Apply steps of (time, method, argument); return registry and kinds of change."""
+    registry = ReplicaRegister(GRACE_PERIOD_MS)
     changes = []
     for now_ms, method_name, argument in steps:
         if method_name == "expire":
-            changes += register.expire(now_ms)
+            changes += registry.expire(now_ms)
         else:
-            changes += getattr(register, method_name)(argument, now_ms)
-    return register, [change.kind for change in changes]
+            changes += getattr(registry, method_name)(argument, now_ms)
+    return registry, [change.kind for change in changes]
 
 
 SEEN, GONE = ChangeKind.SEEN, ChangeKind.GONE
@@ -151,6 +151,6 @@
     ids=[case[0] for case in CASES],
 )
 def test_replicas_in_use(steps, kinds, names, now_ms):
-    register, observed_kinds = run(steps)
+    registry, observed_kinds = run(steps)
     assert observed_kinds == kinds
-    assert {item.name for item in register.replicas_of("s", now_ms)} == names
+    assert {item.name for item in registry.replicas_of("s", now_ms)} == names
