--- a/chestnuthall/platform/tests/soak/__init__.py
+++ b/chestnuthall/platform/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak: real processes of an instance under faults from outside."""
+"""Randomised soak test: real instance processes under injected faults."""
--- a/chestnuthall/platform/tests/soak/__main__.py
+++ b/chestnuthall/platform/tests/soak/__main__.py
@@ -1,4 +1,7 @@
-"""Runs the soak: ``python -m chestnuthall.platform.tests.soak --seed 1 --seeds 50``."""
+"""Runs the soak: ``python -m chestnuthall.platform.tests.soak --seed 1 --seeds 50``.
+
+Prints one line of JSON per seed, with the violated guarantees and the results.
+"""
 
 import argparse
 import asyncio
@@ -22,26 +25,26 @@
 from chestnuthall.platform.tests.soak.proxy import FaultProxy, Mode
 from chestnuthall.platform.tests.standins import (
     LOOPBACK,
-    World,
+    Deployment,
     forward_route,
     free_port,
     scatter_route,
 )
 
-# Enough in the first zone that they follow a leader; those of the second have no
-# replicas in their zone and leave their searches to peers.
+# Zone "a" has enough instances that they follow a leader. The instances in zone "b"
+# have no replicas in their zone and send their searches to peers.
 ZONES = ("a", "a", "a", "a", "a", "b", "b")
 READY_TIMEOUT_S = 30.0
 SERVICES = ("s0", "s1", "s2", "t")
 N_REPLICAS = 3
 DURATION_S = 10.0
 REQUEST_TIMEOUT_S = 3.0
-# Part of the callers' requests that must be served although faults never end.
+# Minimum ratio of callers' requests that must be served under continuous faults.
 SERVED_RATIO_MIN = 0.5
 
 
 class Instance:
-    """One real process with its own way to the store."""
+    """An instance in its own process, connected to the store by its own proxy."""
 
     def __init__(self, number, zone, folder, store_port):
         self.name = f"entry-{number}"
@@ -76,28 +79,28 @@
 
     def start(self):
         if self.process is not None and self.process.poll() is None:
-            # Two faults at once waited for the same end; one has started it anew.
+            # Another fault that waited for the same exit has already restarted it.
             return
         command = [sys.executable, "-m", "chestnuthall.platform", str(self.settings)]
         with self.log.open("ab") as log:
             self.process = subprocess.Popen(command, stdout=log, stderr=log)
 
-    def send(self, number):
+    def send_signal(self, signal_number):
         if self.process.poll() is None:
-            os.kill(self.process.pid, number)
+            os.kill(self.process.pid, signal_number)
 
-    async def wait_end(self):
+    async def wait_for_exit(self):
         await asyncio.get_running_loop().run_in_executor(None, self.process.wait)
 
 
 class Soak:
-    """One seed: callers, faults and checks around real instances."""
+    """One run of the soak: instances, callers, injected faults and checks."""
 
     def __init__(self, seed, folder, duration_s=DURATION_S):
         self.duration_s = duration_s
         self.random = Random(seed)
         self.folder = folder
-        self.world = World()
+        self.deployment = Deployment()
         self.evidence = Evidence()
         self.instances = []
         self.n_requests = 0
@@ -109,9 +112,9 @@
         ends_at_s = loop.time() + self.duration_s
         try:
             await asyncio.gather(
-                *(self._call(ends_at_s) for _ in range(4)),
-                *(self._break_instances(ends_at_s) for _ in range(2)),
-                self._break_upstreams(ends_at_s),
+                *(self._run_caller(ends_at_s) for _ in range(4)),
+                *(self._inject_instance_faults(ends_at_s) for _ in range(2)),
+                self._inject_upstream_faults(ends_at_s),
             )
         finally:
             await self._tear_down()
@@ -120,7 +123,7 @@
         )
         n_all = sum(self.evidence.results.values())
         if n_served < SERVED_RATIO_MIN * n_all:
-            self.evidence.broken.append(f"only {n_served} of {n_all} were served")
+            self.evidence.violations.append(f"only {n_served} of {n_all} were served")
         return self.evidence
 
     async def _set_up(self):
@@ -128,7 +131,7 @@
             for index in range(N_REPLICAS):
                 await self._add_replica(service, f"{service}r{index}")
         self._configure()
-        store_port = await self.world.store.server.start(LOOPBACK, 0)
+        store_port = await self.deployment.store.server.start(LOOPBACK, 0)
         self.instances = [
             Instance(number, zone, self.folder, store_port)
             for number, zone in enumerate(ZONES)
@@ -139,34 +142,34 @@
         for instance in self.instances:
             instance.write_settings(seeds)
             instance.start()
-        await self.world.until(self._are_listening, READY_TIMEOUT_S)
+        await self.deployment.wait_until(self._have_configuration, READY_TIMEOUT_S)
 
-    def _are_listening(self):
+    def _have_configuration(self):
         logs = (item.log.read_bytes() for item in self.instances)
         return all(b"configuration_in_force" in log for log in logs)
 
     async def _add_replica(self, service, name):
         records = b"".join(self.random.randbytes(16) for _ in range(4))
-        replica = await self.world.add_replica(name, service, records)
+        replica = await self.deployment.add_replica(name, service, records)
         replica.respond = lambda request: self._respond(replica, request)
 
     def _respond(self, replica, request):
         request_id = request.headers[b"x-request-id"].decode()
         now_s = asyncio.get_running_loop().time()
-        self.evidence.note_call(request_id, replica.service, replica.name, now_s)
+        self.evidence.record_call(request_id, replica.service, replica.name, now_s)
         if replica.fault == "drop":
             return None
         if replica.fault == "shed":
             self.evidence.calls[request_id].pop()
             return HttpResponse(503, {b"x-not-executed": b"1"})
-        mark = f"{replica.service}/{replica.name}/{request_id}"
-        self.evidence.bodies[mark] = replica.records
+        signature = f"{replica.service}/{replica.name}/{request_id}"
+        self.evidence.bodies[signature] = replica.records
         echoed = b"crossed" if replica.fault == "cross" else request_id.encode()
-        headers = {b"x-server-stamp": mark.encode(), b"x-request-id": echoed}
+        headers = {b"x-server-stamp": signature.encode(), b"x-request-id": echoed}
         return HttpResponse(200, headers, replica.records)
 
     def _configure(self):
-        self.world.configure(
+        self.deployment.configure(
             self.version,
             [
                 scatter_route(SERVICES[:3]),
@@ -177,7 +180,7 @@
             ],
         )
 
-    async def _call(self, ends_at_s):
+    async def _run_caller(self, ends_at_s):
         loop = asyncio.get_running_loop()
         pools = {}
         while loop.time() < ends_at_s:
@@ -188,7 +191,7 @@
             request_id = f"q{self.n_requests}"
             kind = self.random.choice(("sweep", "sweep", "fetch", "hold"))
             response = await self._send(pool, kind, request_id)
-            self.evidence.note_answer(request_id, kind, response)
+            self.evidence.record_answer(request_id, kind, response)
             await asyncio.sleep(self.random.uniform(0.0, 0.03))
         for pool in pools.values():
             pool.close()
@@ -213,7 +216,7 @@
             pool.release(connection)
         return None if isinstance(response, Failure) else response
 
-    async def _break_instances(self, ends_at_s):
+    async def _inject_instance_faults(self, ends_at_s):
         loop = asyncio.get_running_loop()
         while loop.time() < ends_at_s:
             await asyncio.sleep(self.random.uniform(0.2, 1.5))
@@ -224,32 +227,32 @@
             await getattr(self, f"_{fault}")(instance)
 
     async def _pause(self, instance):
-        instance.send(signal.SIGSTOP)
+        instance.send_signal(signal.SIGSTOP)
         await asyncio.sleep(self.random.uniform(0.1, 1.0))
-        instance.send(signal.SIGCONT)
+        instance.send_signal(signal.SIGCONT)
 
     async def _kill(self, instance):
-        instance.send(signal.SIGKILL)
-        await instance.wait_end()
+        instance.send_signal(signal.SIGKILL)
+        await instance.wait_for_exit()
         instance.start()
 
     async def _stop(self, instance):
-        instance.send(signal.SIGTERM)
+        instance.send_signal(signal.SIGTERM)
         if self.random.random() < 0.5:
-            instance.send(signal.SIGTERM)
-        await instance.wait_end()
+            instance.send_signal(signal.SIGTERM)
+        await instance.wait_for_exit()
         instance.start()
 
     async def _silent(self, instance):
-        await self._cut(instance, Mode.SILENT)
+        await self._apply_proxy_mode(instance, Mode.SILENT)
 
     async def _one_way(self, instance):
-        await self._cut(instance, Mode.ONE_WAY)
+        await self._apply_proxy_mode(instance, Mode.ONE_WAY)
 
     async def _delay(self, instance):
-        await self._cut(instance, Mode.DELAY)
+        await self._apply_proxy_mode(instance, Mode.DELAY)
 
-    async def _cut(self, instance, mode):
+    async def _apply_proxy_mode(self, instance, mode):
         instance.proxy.set_mode(mode)
         await asyncio.sleep(self.random.uniform(0.2, 2.0))
         instance.proxy.set_mode(Mode.PASS)
@@ -257,11 +260,11 @@
     async def _reset(self, instance):
         instance.proxy.reset_all()
 
-    async def _break_upstreams(self, ends_at_s):
+    async def _inject_upstream_faults(self, ends_at_s):
         loop = asyncio.get_running_loop()
         while loop.time() < ends_at_s:
             await asyncio.sleep(self.random.uniform(0.1, 0.6))
-            replica = self.random.choice(list(self.world.replicas.values()))
+            replica = self.random.choice(list(self.deployment.replicas.values()))
             fault = self.random.choice(
                 ("drop", "shed", "cross", "slow", "drain", "change", "outage")
             )
@@ -269,9 +272,9 @@
                 self.version += self.random.randint(1, 3)
                 self._configure()
             elif fault == "outage":
-                self.world.store.is_down = True
+                self.deployment.store.is_unavailable = True
                 await asyncio.sleep(self.random.uniform(0.1, 1.0))
-                self.world.store.is_down = False
+                self.deployment.store.is_unavailable = False
             elif fault == "drain":
                 await self._drain(replica)
             else:
@@ -282,25 +285,25 @@
                 replica.delay_s = 0.0
 
     async def _drain(self, replica):
-        """Let a replica leave and another one take its place."""
-        if replica.name in self.evidence.drained_s:
+        """Drain a replica and add another one in its place."""
+        if replica.name in self.evidence.drain_notice_s:
             return
         await self._add_replica(replica.service, f"{replica.name}x")
-        put = self.world.store.put
+        put = self.deployment.store.put
         put("servers", replica.name, replica.entry(State="draining", Sequence=2))
-        self.evidence.drained_s[replica.name] = asyncio.get_running_loop().time()
+        self.evidence.drain_notice_s[replica.name] = asyncio.get_running_loop().time()
 
     async def _tear_down(self):
         for instance in self.instances:
-            instance.send(signal.SIGCONT)
-            instance.send(signal.SIGKILL)
-            await instance.wait_end()
+            instance.send_signal(signal.SIGCONT)
+            instance.send_signal(signal.SIGKILL)
+            await instance.wait_for_exit()
             await instance.proxy.close()
-        await self.world.close()
+        await self.deployment.close()
 
 
 def main():
-    """Run seeds one after the other; exit with 1 if a promise was broken."""
+    """Run the seeds one after the other; exit with 1 if a guarantee was violated."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--seeds", type=int, default=1)
@@ -311,9 +314,9 @@
             evidence = asyncio.run(Soak(seed, Path(folder)).run())
         counts = sorted(evidence.results.items(), key=str)
         results = {f"{kind} {status}": n for (kind, status), n in counts}
-        report = {"seed": seed, "broken": evidence.broken, "results": results}
+        report = {"seed": seed, "broken": evidence.violations, "results": results}
         print(json.dumps(report), flush=True)
-        n_failed += bool(evidence.broken)
+        n_failed += bool(evidence.violations)
     raise SystemExit(1 if n_failed else 0)
 
 
--- a/chestnuthall/platform/tests/soak/proxy.py
+++ b/chestnuthall/platform/tests/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, resets or silences the connections through it."""
+"""A loopback proxy that delays, blocks or resets the connections through it."""
 
 import asyncio
 import socket
@@ -9,7 +9,10 @@
 
 
 class Mode(Enum):
-    """What happens to bytes on their way."""
+    """How bytes are forwarded.
+
+    ``SILENT`` blocks both directions, ``ONE_WAY`` only that from the target.
+    """
 
     PASS = "pass"
     DELAY = "delay"
@@ -18,7 +21,7 @@
 
 
 class FaultProxy:
-    """Passes connections on to an address, as its mode says."""
+    """Forwards connections to a local port, according to its mode."""
 
     def __init__(self, target_port):
         self.target_port = target_port
@@ -28,20 +31,20 @@
         self._writers = set()
         self._tasks = set()
         self._server = None
-        self._is_clear = asyncio.Event()
-        self._is_clear.set()
+        self._is_passing = asyncio.Event()
+        self._is_passing.set()
 
     async def start(self):
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = self._server.sockets[0].getsockname()[1]
 
     def set_mode(self, mode):
-        """Change the mode of open and new connections."""
+        """Set the mode of open and new connections."""
         self.mode = mode
         if mode in (Mode.PASS, Mode.DELAY):
-            self._is_clear.set()
+            self._is_passing.set()
         else:
-            self._is_clear.clear()
+            self._is_passing.clear()
 
     def reset_all(self):
         """Reset every open connection."""
@@ -56,42 +59,42 @@
         task = asyncio.current_task()
         self._tasks.add(task)
         try:
-            far_reader, far_writer = await asyncio.open_connection(
+            target_reader, target_writer = await asyncio.open_connection(
                 "127.0.0.1", self.target_port
             )
         except OSError:
             writer.close()
             return
-        self._writers |= {writer, far_writer}
+        self._writers |= {writer, target_writer}
         try:
             await asyncio.gather(
-                self._pump(reader, far_writer, is_towards_target=True),
-                self._pump(far_reader, writer, is_towards_target=False),
+                self._forward(reader, target_writer, is_towards_target=True),
+                self._forward(target_reader, writer, is_towards_target=False),
             )
         except (OSError, asyncio.CancelledError):
             pass
         finally:
-            for end in (writer, far_writer):
+            for end in (writer, target_writer):
                 self._writers.discard(end)
                 end.close()
             self._tasks.discard(task)
 
-    async def _pump(self, reader, writer, is_towards_target):
+    async def _forward(self, reader, writer, is_towards_target):
         while data := await reader.read(N_CHUNK_BYTES):
             if self.mode is Mode.DELAY:
                 await asyncio.sleep(self.delay_s)
-            is_held = self.mode is Mode.SILENT or (
+            is_blocked = self.mode is Mode.SILENT or (
                 self.mode is Mode.ONE_WAY and not is_towards_target
             )
-            if is_held:
-                await self._is_clear.wait()
+            if is_blocked:
+                await self._is_passing.wait()
             writer.write(data)
             await writer.drain()
         writer.close()
 
     async def close(self):
         self._server.close()
-        self._is_clear.set()
+        self._is_passing.set()
         for writer in tuple(self._writers):
             writer.close()
         for task in tuple(self._tasks):
--- a/chestnuthall/platform/tests/standins.py
+++ b/chestnuthall/platform/tests/standins.py
@@ -1,4 +1,4 @@
-"""Small stand-ins of the platform's store and of its replicas, in one process."""
+"""In-process stand-ins for the platform's store and replicas, and test deployments."""
 
 import asyncio
 import itertools
@@ -24,31 +24,34 @@
 
 
 class Store:
-    """Objects by kind and name, with one revision for all and waiting watches."""
+    """Stand-in for the store: objects by kind and name, with watches.
+
+    One revision counts the writes of all objects.
+    """
 
     def __init__(self):
         self.objects = {}
         self.changes = []
         self.revision = 10
-        self.is_down = False
+        self.is_unavailable = False
         self.calls = []
         self._changed = asyncio.Event()
         self.server = HttpServer(self.handle)
 
     def put(self, kind, name, spec):
-        """Write an object as its owner does."""
+        """Write an object as its owner would."""
         self.revision += 1
         body = {"meta": {"Name": name, "Revision": self.revision}, "spec": spec}
         self.objects.setdefault(kind, {})[name] = body
-        self._note(kind, body, False)
+        self._record_change(kind, body, False)
 
     def remove(self, kind, name):
-        """Let an object go."""
+        """Delete an object."""
         body = self.objects[kind].pop(name)
         self.revision += 1
-        self._note(kind, body, True)
+        self._record_change(kind, body, True)
 
-    def _note(self, kind, body, is_deleted):
+    def _record_change(self, kind, body, is_deleted):
         self.changes.append((self.revision, kind, body, is_deleted))
         self._changed.set()
         self._changed = asyncio.Event()
@@ -56,7 +59,7 @@
     async def handle(self, request):
         """Serve one call."""
         self.calls.append((request.method, request.target))
-        if self.is_down:
+        if self.is_unavailable:
             return HttpResponse(503, dict(JSON), b"{}")
         kind = request.path.split("/")[3]
         if request.method == "POST":
@@ -65,14 +68,14 @@
         if "Watch" in options:
             return await self._watch(kind, options)
         items = list(self.objects.get(kind, {}).values())
-        return answer({"items": items, "More": False, "At": self.revision})
+        return json_response({"items": items, "More": False, "At": self.revision})
 
     def _create(self, kind, body):
         name = body["meta"]["Name"]
         if name in self.objects.get(kind, {}):
             return HttpResponse(409, dict(JSON), b"{}")
         self.put(kind, name, body["spec"])
-        return answer(self.objects[kind][name])
+        return json_response(self.objects[kind][name])
 
     async def _watch(self, kind, options):
         after = int(options["Watch"])
@@ -85,7 +88,7 @@
                 if revision > after and changed_kind == kind
             ]
             if events or loop.time() >= ends_at_s:
-                return answer({"events": events, "At": self.revision})
+                return json_response({"events": events, "At": self.revision})
             try:
                 async with asyncio.timeout_at(ends_at_s):
                     await self._changed.wait()
@@ -93,12 +96,12 @@
                 continue
 
 
-def answer(body):
+def json_response(body):
     return HttpResponse(200, dict(JSON), json.dumps(body).encode())
 
 
-class ReplicaProcess:
-    """A replica that answers with its records, or as ``respond`` says."""
+class ReplicaServer:
+    """A replica that answers with its records, or with the result of ``respond``."""
 
     def __init__(self, name, service, records=b""):
         self.name = name
@@ -131,10 +134,10 @@
             if response is None:
                 raise DropConnection
             return response
-        return self.good(request)
+        return self.signed_response(request)
 
-    def good(self, request, status=200):
-        """Return a whole answer with this replica's signature."""
+    def signed_response(self, request, status=200):
+        """Return a complete response with this replica's signature."""
         headers = {
             b"x-server-stamp": f"{self.name}.{len(self.received)}".encode(),
             b"x-request-id": request.headers[b"x-request-id"],
@@ -142,7 +145,7 @@
         return HttpResponse(status, headers, self.records)
 
     def entry(self, **changes):
-        """Return what the replica writes to the store."""
+        """Return the registration that the replica writes to the store."""
         return {
             "Service": self.service,
             "Address": self.address,
@@ -198,20 +201,20 @@
     }
 
 
-class World:
-    """One instance with its store, replicas and a client."""
+class Deployment:
+    """An instance with its store, replicas, peers and a client."""
 
     def __init__(self):
         self.store = Store()
         self.replicas = {}
         self.instance = None
         self.pool = None
-        self.run = None
-        self.peer_runs = {}
+        self.instance_task = None
+        self.peer_tasks = {}
         self._store_port = 0
 
     async def add_replica(self, name, service, records=b"", **changes):
-        replica = ReplicaProcess(name, service, records)
+        replica = ReplicaServer(name, service, records)
         await replica.start()
         self.replicas[name] = replica
         self.store.put("servers", name, replica.entry(**changes))
@@ -225,14 +228,14 @@
         await self.listen()
         settings = await self._settings("entry-1", zone, grace_s, seeds)
         self.instance = PlatformInstance(settings)
-        self.run = asyncio.get_running_loop().create_task(self.instance.run())
-        await self.until(lambda: self.instance.caller_server.is_listening)
+        self.instance_task = asyncio.get_running_loop().create_task(self.instance.run())
+        await self.wait_until(lambda: self.instance.caller_server.is_listening)
         self.pool = ConnectionPool(settings.caller_address, PoolSettings())
         if wait:
-            await self.until(self.instance.is_ready)
+            await self.wait_until(self.instance.is_ready)
 
     async def listen(self):
-        """Start the store, once."""
+        """Start the store unless it is running."""
         if not self.store.server.is_listening:
             self._store_port = await self.store.server.start(LOOPBACK, 0)
 
@@ -240,8 +243,8 @@
         """Start another instance and return it once it is ready."""
         await self.listen()
         peer = PlatformInstance(await self._settings(name, zone, 6.0))
-        self.peer_runs[name] = asyncio.get_running_loop().create_task(peer.run())
-        await self.until(peer.is_ready)
+        self.peer_tasks[name] = asyncio.get_running_loop().create_task(peer.run())
+        await self.wait_until(peer.is_ready)
         return peer
 
     async def _settings(self, name, zone, grace_s, seeds=()):
@@ -264,17 +267,17 @@
             n_repeats_floor=58.0,
         )
 
-    async def until(self, condition, timeout_s=5.0):
+    async def wait_until(self, condition, timeout_s=5.0):
         loop = asyncio.get_running_loop()
         ends_at_s = loop.time() + timeout_s
         while not condition():
-            if self.run is not None and self.run.done():
-                await self.run
+            if self.instance_task is not None and self.instance_task.done():
+                await self.instance_task
             assert loop.time() < ends_at_s, "the condition did not come true in time"
             await asyncio.sleep(0.005)
 
     async def send(self, path, *, request_id="q1", method="GET", body=b"", **headers):
-        """Send one request as a client does and return the response."""
+        """Send one request as a client and return the response."""
         pairs = {
             b"host": b"h.example",
             b"x-request-id": request_id.encode(),
@@ -292,12 +295,12 @@
             self.pool.release(connection)
 
     async def close(self):
-        if self.run is not None:
-            self.run.cancel()
-            await asyncio.gather(self.run, return_exceptions=True)
-        for run in self.peer_runs.values():
-            run.cancel()
-        await asyncio.gather(*self.peer_runs.values(), return_exceptions=True)
+        if self.instance_task is not None:
+            self.instance_task.cancel()
+            await asyncio.gather(self.instance_task, return_exceptions=True)
+        for task in self.peer_tasks.values():
+            task.cancel()
+        await asyncio.gather(*self.peer_tasks.values(), return_exceptions=True)
         if self.pool is not None:
             self.pool.close()
         for replica in self.replicas.values():
@@ -305,15 +308,15 @@
         await self.store.server.close()
 
 
-# Below the range from which the system takes the ports of outgoing connections,
-# which took a port between its choice and its use.
+# Below the system's range of ephemeral ports, from which an outgoing connection could
+# otherwise take a port between its choice and its use.
 PORT_MIN = 12_000
 N_PORTS = 18_000
 _ports = itertools.count(os.getpid() * 97)
 
 
 async def free_port():
-    """Return a port that nothing listens on and that was not returned before."""
+    """Return a port without a listener that was not returned before."""
     for offset in _ports:
         port = PORT_MIN + offset % N_PORTS
         server = HttpServer(lambda request: None)
@@ -326,10 +329,10 @@
 
 
 @asynccontextmanager
-async def world():
-    """Yield a world without an instance; end everything afterwards."""
-    made = World()
+async def open_deployment():
+    """Yield a deployment without an instance; close it at the end."""
+    deployment = Deployment()
     try:
-        yield made
+        yield deployment
     finally:
-        await made.close()
+        await deployment.close()
--- a/chestnuthall/platform/tests/test_configuration.py
+++ b/chestnuthall/platform/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Guards what the operator's document becomes."""
+"""Tests the decoding of the operator's document."""
 
 import json
 
@@ -18,7 +18,7 @@
 
 @pytest.mark.parametrize(("objective_ms", "n_shards", "soft_ms"), SOFT_DEADLINES)
 def test_soft_deadline_leaves_time_for_the_response(objective_ms, n_shards, soft_ms):
-    """Searches over 36 shards were answered 2 ms too late, six in ten."""
+    """Without a reserve per shard, 60% of searches over 36 shards were 2 ms late."""
     shards = [f"s{i}" for i in range(n_shards)]
     route = scatter_route(shards, TargetLatencyMs=objective_ms)
     configuration = read_configuration(json.dumps(document(1, [route], shards)))
--- a/chestnuthall/platform/tests/test_dialect.py
+++ b/chestnuthall/platform/tests/test_dialect.py
@@ -1,4 +1,8 @@
-"""Guards the translation of the platform's store, entries and configurations."""
+"""Tests the translation of the platform's store, registrations and configurations.
+
+Guards against invalid objects that are used or hide valid ones, and against writes of
+unknown outcome that are reported as not done.
+"""
 
 import json
 
@@ -20,12 +24,12 @@
     return HttpResponse(status, {}, b"" if body is None else json.dumps(body).encode())
 
 
-def stored(name, revision=5, spec="x"):
+def stored_object(name, revision=5, spec="x"):
     meta = {"Name": name, "Revision": revision, "Created": 1, "Finalizers": []}
     return {"meta": meta, "spec": spec, "status": None}
 
 
-# (case, verb of the dialect, arguments, method, target, body)
+# (case, method of the dialect, arguments, HTTP method, target, body)
 REQUESTS = [
     ("list", "list_kind", (KIND, ""), "GET", "/v1/objects/servers", None),
     (
@@ -89,18 +93,18 @@
 
 
 @pytest.mark.parametrize(
-    ("verb", "arguments", "method", "target", "body"),
+    ("method_name", "arguments", "method", "target", "body"),
     [case[1:] for case in REQUESTS],
     ids=[case[0] for case in REQUESTS],
 )
-def test_requests(verb, arguments, method, target, body):
-    request = getattr(DIALECT, verb)(*arguments)
+def test_encoded_requests(method_name, arguments, method, target, body):
+    request = getattr(DIALECT, method_name)(*arguments)
     assert (request.method, request.target) == (method, target)
     assert (json.loads(request.body) if request.body else None) == body
 
 
-def test_listing_leaves_out_what_it_cannot_read_and_names_the_next_page():
-    items = [stored("a"), {"meta": 3}, "junk", stored("b")]
+def test_list_skips_invalid_entries_and_states_the_next_page():
+    items = [stored_object("a"), {"meta": 3}, "junk", stored_object("b")]
     page = DIALECT.read_list(
         KIND, response(200, {"items": items, "More": True, "At": 9})
     )
@@ -111,10 +115,10 @@
 
 def test_watch_keeps_the_last_event_of_each_object():
     events = [
-        {"Object": stored("a", 6), "Deleted": False},
-        {"Object": stored("b", 7), "Deleted": False},
-        {"Object": stored("a", 8), "Deleted": True},
-        {"Object": stored("b", 9, "y"), "Deleted": False},
+        {"Object": stored_object("a", 6), "Deleted": False},
+        {"Object": stored_object("b", 7), "Deleted": False},
+        {"Object": stored_object("a", 8), "Deleted": True},
+        {"Object": stored_object("b", 9, "y"), "Deleted": False},
         {"Object": None},
     ]
     batch = DIALECT.read_watch(KIND, response(200, {"events": events, "At": 9}))
@@ -122,15 +126,15 @@
     assert (batch.deleted_names, batch.version) == (("a",), 9)
 
 
-# (case, method that reads, status, body, kind of failure)
+# (case, method of the dialect, status, body, kind of failure)
 FAILURES = [
-    ("history is gone", "read_watch", 410, None, "HISTORY_TRIMMED"),
-    ("busy", "read_watch", 503, None, "STORE_UNAVAILABLE"),
+    ("history trimmed", "read_watch", 410, None, "HISTORY_TRIMMED"),
+    ("unavailable", "read_watch", 503, None, "STORE_UNAVAILABLE"),
     ("too many calls", "read_list", 429, None, "RATE_LIMITED"),
-    ("not a listing", "read_list", 200, {"x": 1}, "STORE_UNAVAILABLE"),
-    ("create of an existing one", "read_written", 409, None, "OBJECT_CONFLICT"),
-    ("write that did nothing", "read_written", 503, None, "STORE_UNAVAILABLE"),
-    ("write with an odd answer", "read_written", 200, {}, "STORE_WRITE_UNKNOWN"),
+    ("not a list", "read_list", 200, {"x": 1}, "STORE_UNAVAILABLE"),
+    ("create of an existing object", "read_written", 409, None, "OBJECT_CONFLICT"),
+    ("refused write", "read_written", 503, None, "STORE_UNAVAILABLE"),
+    ("write with an invalid response", "read_written", 200, {}, "STORE_WRITE_UNKNOWN"),
 ]
 
 
@@ -139,14 +143,17 @@
     [case[1:] for case in FAILURES],
     ids=[case[0] for case in FAILURES],
 )
-def test_failures(method, status, body, kind):
-    """A write that may have taken effect must not be taken for one that did not."""
+def test_decoded_failures(method, status, body, kind):
+    """A write that may have taken effect must not be reported as not done."""
     result = getattr(DIALECT, method)(KIND, response(status, body))
     assert result.kind.name == kind
 
 
 def test_singleton_is_found_among_the_objects_of_its_kind():
-    body = {"items": [stored("other"), stored("main", 3, {"v": 1})], "At": 12}
+    body = {
+        "items": [stored_object("other"), stored_object("main", 3, {"v": 1})],
+        "At": 12,
+    }
     found = DIALECT.read_object(ENVIRONMENT_KIND, SINGLETON_NAME, response(200, body))
     assert (found.name, found.value, found.seen_version) == (
         SINGLETON_NAME,
@@ -159,7 +166,7 @@
     assert missing.kind.name == "OBJECT_NOT_FOUND"
 
 
-GOOD = {
+VALID_ENTRY = {
     "Service": "s",
     "Address": "10.1.2.3:80",
     "Zone": "z",
@@ -170,9 +177,9 @@
     "born": 17,
     "Unknown": {},
 }
-# (case, changes to a good entry, place of the problem or None)
+# (case, changes to a valid entry, location of the problem or None)
 ENTRIES = [
-    ("good", {}, None),
+    ("valid", {}, None),
     ("no start stated", {"born": ...}, None),
     ("no service", {"Service": ...}, "Service"),
     ("service of another type", {"Service": 7}, "Service"),
@@ -185,23 +192,23 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "place"),
+    ("changes", "location"),
     [case[1:] for case in ENTRIES],
     ids=[case[0] for case in ENTRIES],
 )
-def test_entries(changes, place):
-    """An entry of another writer must neither be used nor stop the others."""
-    entry = {k: v for k, v in {**GOOD, **changes}.items() if v is not ...}
+def test_registrations(changes, location):
+    """An invalid entry must not be used and not prevent the use of others."""
+    entry = {k: v for k, v in {**VALID_ENTRY, **changes}.items() if v is not ...}
     found = read_registration(StoredObject(KIND, "i-1", 1, json.dumps(entry)))
-    if place is None:
+    if location is None:
         assert found.replica.n_slots == 3
         assert found.replica.incarnation == entry.get("born", 0)
     else:
         assert isinstance(found, Failure)
-        assert place in found.reason
+        assert location in found.reason
 
 
-def test_entry_that_is_no_json_names_no_replica():
+def test_registration_that_is_not_json_is_refused():
     found = read_registration(StoredObject(KIND, "i-1", 1, "\x00junk"))
     assert isinstance(found, Failure)
 
@@ -245,7 +252,7 @@
 }
 
 
-def test_configuration_becomes_routes_classes_and_groups():
+def test_configuration_is_decoded_to_routes_classes_and_groups():
     configuration = read_configuration(json.dumps(DOCUMENT))
     document = configuration.document
     assert configuration.revision == 7
@@ -263,8 +270,8 @@
     assert caller_class.urgency > document.class_named(hold.class_name).urgency
 
 
-def test_the_same_shards_in_another_order_are_the_same_group():
-    """A new group would start without any latency or admission history."""
+def test_same_shards_in_another_order_are_the_same_group():
+    """A new group would start without latency and admission history."""
     other = json.loads(json.dumps(DOCUMENT))
     other["Routes"][0]["Gather"].reverse()
     groups = [
@@ -277,5 +284,5 @@
 @pytest.mark.parametrize(
     "text", ["", "[]", "{}", '{"Version": "x"}', '{"Version": 1, "Routes": [{}]}']
 )
-def test_unreadable_configuration_is_refused(text):
+def test_invalid_configuration_is_refused(text):
     assert isinstance(read_configuration(text), Failure)
--- a/chestnuthall/platform/tests/test_peer_calls.py
+++ b/chestnuthall/platform/tests/test_peer_calls.py
@@ -1,4 +1,8 @@
-"""Guards searches that a peer runs in the zone of the replicas, on real sockets."""
+"""Tests searches that a peer runs in the zone of the replicas, on real sockets.
+
+Guards against answers that are lost, incomplete, late or computed twice because the
+peer cannot run its shards or the connection to it is closed.
+"""
 
 import asyncio
 import json
@@ -16,48 +20,54 @@
 from chestnuthall.platform.tests.standins import (
     document,
     forward_route,
+    open_deployment,
     scatter_route,
-    world,
 )
 from chestnuthall.services import InstanceEntry
 
 SHARDS = ("s0", "s1", "s2", "s3")
-# Longer than a busy machine delays anything here.
-PATIENT_MS = 4_000.0
+# Exceeds the delays of a busy machine.
+LONG_TIMEOUT_MS = 4_000.0
 
 
 @pytest.fixture(autouse=True)
-def patient(monkeypatch):
-    """Keep bounds in real time from deciding where a search runs.
+def long_timeouts(monkeypatch):
+    """Keep limits in real time from deciding where a search runs.
 
-    Beside a load of 20 on 8 cores, the set of a sound peer was searched from here,
-    as it is where a peer does not accept within 20 ms or is overloaded.
+    At a load of 20 on 8 cores, a healthy peer did not accept a connection within 20 ms
+    or counted as overloaded, so its shard set was searched from the other zone.
     """
-    monkeypatch.setattr(_instance, "PEER_CONNECT_TIMEOUT_MS", PATIENT_MS)
+    monkeypatch.setattr(_instance, "PEER_CONNECT_TIMEOUT_MS", LONG_TIMEOUT_MS)
     monkeypatch.setattr(OverloadDetector, "observe", lambda detector, lag_ms: False)
 
 
 @asynccontextmanager
 async def two_zones():
-    """Yield a world whose instance has no replicas in its zone, and its peer."""
-    async with world() as made:
+    """Yield a deployment whose instance has no replicas in its zone, and its peer."""
+    async with open_deployment() as deployment:
         for number, shard in enumerate(SHARDS):
             record = bytes([65 + number]) * 16
-            await made.add_replica(f"{shard}r", shard, record)
-        await made.add_replica("t", "t", b"body")
-        patient = {"TimeoutMs": PATIENT_MS, "TargetLatencyMs": PATIENT_MS}
-        routes = [scatter_route(SHARDS, **patient), forward_route("t", **patient)]
-        made.configure(1, routes)
-        peer = await made.add_peer("entry-2", "a")
-        await made.start(zone="b")
+            await deployment.add_replica(f"{shard}r", shard, record)
+        await deployment.add_replica("t", "t", b"body")
+        long_timeouts = {
+            "TimeoutMs": LONG_TIMEOUT_MS,
+            "TargetLatencyMs": LONG_TIMEOUT_MS,
+        }
+        routes = [
+            scatter_route(SHARDS, **long_timeouts),
+            forward_route("t", **long_timeouts),
+        ]
+        deployment.configure(1, routes)
+        peer = await deployment.add_peer("entry-2", "a")
+        await deployment.start(zone="b")
         settings = peer.settings
         entry = InstanceEntry(settings.name, settings.peer_address, settings.zone)
-        made.instance.presence.peers = (entry,)
-        yield made, peer
+        deployment.instance.presence.peers = (entry,)
+        yield deployment, peer
 
 
 def n_served(instance, kind):
-    """Return how many requests of a kind ended at an instance, by result."""
+    """Return the number of requests of a kind that an instance completed."""
     text = instance._metrics.text().decode()
     return sum(
         float(line.rpartition(" ")[2])
@@ -66,51 +76,53 @@
     )
 
 
-async def other_revision(made, peer):
+async def offer_other_revision(deployment, peer):
     newer = document(2, [scatter_route(SHARDS)], SHARDS)
     peer.configuration.offer_text(json.dumps(newer), "test")
 
 
-async def no_configuration(made, peer):
+async def remove_configuration(deployment, peer):
     peer.configuration._in_force = None
 
 
-async def leaving(made, peer):
+async def announce_leave(deployment, peer):
     peer.lifecycle.announce_leave()
 
 
-async def gone(made, peer):
-    made.peer_runs["entry-2"].cancel()
-    await asyncio.gather(made.peer_runs["entry-2"], return_exceptions=True)
+async def stop_peer(deployment, peer):
+    deployment.peer_tasks["entry-2"].cancel()
+    await asyncio.gather(deployment.peer_tasks["entry-2"], return_exceptions=True)
 
 
-async def sound(made, peer):
-    """Leave the peer as it is."""
+async def keep_healthy(deployment, peer):
+    """Do not change the peer."""
 
 
-# (case, what happens to the peer, whether it serves the search)
-PEERS = [
-    ("sound", sound, True),
-    ("another configuration", other_revision, False),
-    ("no configuration", no_configuration, False),
-    ("leaving", leaving, False),
-    ("gone", gone, False),
+# (case, change to the peer, whether the peer serves the search)
+PEER_STATES = [
+    ("healthy", keep_healthy, True),
+    ("another configuration", offer_other_revision, False),
+    ("no configuration", remove_configuration, False),
+    ("leaving", announce_leave, False),
+    ("stopped", stop_peer, False),
 ]
 
 
 @pytest.mark.parametrize(
-    ("change", "is_served_there"),
-    [case[1:] for case in PEERS],
-    ids=[case[0] for case in PEERS],
+    ("change_peer", "is_served_by_peer"),
+    [case[1:] for case in PEER_STATES],
+    ids=[case[0] for case in PEER_STATES],
 )
-def test_search_is_whole_wherever_it_runs(change, is_served_there):
-    """A peer that cannot run a search must not cost its caller the answer."""
+def test_search_is_complete_whatever_the_state_of_the_peer(
+    change_peer, is_served_by_peer
+):
+    """A search that a peer cannot run must still be answered completely."""
 
     async def scenario():
-        async with two_zones() as (made, peer):
-            await change(made, peer)
-            response = await made.send("/sweep/x")
-            received = [x for r in made.replicas.values() for x in r.received]
+        async with two_zones() as (deployment, peer):
+            await change_peer(deployment, peer)
+            response = await deployment.send("/sweep/x")
+            received = [x for r in deployment.replicas.values() for x in r.received]
             return response, received, n_served(peer, "scatter")
 
     response, received, n_at_peer = asyncio.run(scenario())
@@ -123,58 +135,60 @@
     assert not any(
         name.startswith(b"x-chestnut") for x in received for name in x.headers
     )
-    assert (n_at_peer > 0) == is_served_there
+    assert (n_at_peer > 0) == is_served_by_peer
 
 
-def test_single_record_requests_stay():
-    """One answer is as large from a peer as from its replica."""
+def test_forwarded_requests_are_not_sent_to_peers():
+    """They would save no traffic: a reply is as large from a peer as from a replica."""
 
     async def scenario():
-        async with two_zones() as (made, peer):
-            response = await made.send("/fetch/x")
+        async with two_zones() as (deployment, peer):
+            response = await deployment.send("/fetch/x")
             return response.status, n_served(peer, "forward")
 
     assert asyncio.run(scenario()) == (200, 0)
 
 
-def test_search_that_a_peer_may_have_begun_is_not_run_again():
-    """Its second run would count as a repeat at every shard."""
+def test_search_that_a_peer_may_have_started_is_not_repeated():
+    """The repetition would count as extra load at every shard."""
 
     async def scenario():
-        async with two_zones() as (made, peer):
-            for replica in made.replicas.values():
+        async with two_zones() as (deployment, peer):
+            for replica in deployment.replicas.values():
                 replica.delay_s = 0.4
-            task = asyncio.get_running_loop().create_task(made.send("/sweep/x"))
-            await made.until(
-                lambda: all(made.replicas[f"{s}r"].received for s in SHARDS)
+            task = asyncio.get_running_loop().create_task(deployment.send("/sweep/x"))
+            await deployment.wait_until(
+                lambda: all(deployment.replicas[f"{s}r"].received for s in SHARDS)
             )
             for connection in tuple(peer.peer_server._connections):
                 connection.close()
             response = await task
-            return response, [len(made.replicas[f"{s}r"].received) for s in SHARDS]
+            return response, [
+                len(deployment.replicas[f"{s}r"].received) for s in SHARDS
+            ]
 
     response, n_received = asyncio.run(scenario())
     assert response.status == 504
     assert n_received == [1] * len(SHARDS)
 
 
-def test_callers_departure_reaches_the_replicas_through_the_peer():
+def test_caller_disconnect_cancels_calls_through_the_peer():
     async def scenario():
-        async with two_zones() as (made, _):
-            for replica in made.replicas.values():
+        async with two_zones() as (deployment, _):
+            for replica in deployment.replicas.values():
                 replica.delay_s = 0.4
-            task = asyncio.get_running_loop().create_task(made.send("/sweep/x"))
-            await made.until(
-                lambda: all(made.replicas[f"{s}r"].received for s in SHARDS)
+            task = asyncio.get_running_loop().create_task(deployment.send("/sweep/x"))
+            await deployment.wait_until(
+                lambda: all(deployment.replicas[f"{s}r"].received for s in SHARDS)
             )
-            made.pool.close()
+            deployment.pool.close()
             task.cancel()
-            for connection in tuple(made.instance.caller_server._connections):
+            for connection in tuple(deployment.instance.caller_server._connections):
                 connection.eof_received()
-            await made.until(
-                lambda: sum(r.n_cancelled for r in made.replicas.values()) == 4
+            await deployment.wait_until(
+                lambda: sum(r.n_cancelled for r in deployment.replicas.values()) == 4
             )
-            return made.instance.lifecycle.n_in_flight
+            return deployment.instance.lifecycle.n_in_flight
 
     assert asyncio.run(scenario()) == 0
 
@@ -184,8 +198,8 @@
         return 1_000.0
 
 
-class RecordedCalls:
-    """Stands for the relay, and for what counts its requests."""
+class RelayRecorder:
+    """Fake relay service and request tracker that records the calls."""
 
     def __init__(self):
         self.calls = []
@@ -195,14 +209,14 @@
         return NOT_READY.because("test")
 
     def begin_request(self):
-        """Count nothing."""
+        """Do nothing."""
 
     end_request = begin_request
 
 
-def test_peer_counts_the_time_that_a_search_has_waited():
-    """Its partial answer is due when the caller expects it, not when the peer does."""
-    relay = RecordedCalls()
+def test_peer_counts_the_time_since_arrival_of_the_search():
+    """Otherwise its partial answer would be due later than the caller expects it."""
+    relay = RelayRecorder()
     frontend = RelayFrontend(relay, relay, FixedClock())
     headers = {b"x-request-id": b"q", b"x-request-deadline-ms": b"700"}
     request = HttpRequest("GET", "/sweep/x", headers)
@@ -213,7 +227,7 @@
     assert (call.shard_ids, call.n_missing_max) == ({"s0"}, 1)
 
 
-def test_call_to_a_peer_says_how_long_its_search_has_waited():
+def test_call_to_a_peer_states_the_time_since_arrival():
     request = ScatterRequest(
         request_id="q",
         class_name="c",
--- a/chestnuthall/platform/tests/test_soak.py
+++ b/chestnuthall/platform/tests/test_soak.py
@@ -1,4 +1,7 @@
-"""Guards the soak's own checks, and runs it for one short seed."""
+"""Tests the checks of the soak, and runs the soak for a few seconds.
+
+Guards against checks that miss a violation of a guarantee.
+"""
 
 import asyncio
 
@@ -11,54 +14,66 @@
 A, B = b"A" * 16, b"B" * 16
 
 
-def search(marks, body):
-    return HttpResponse(200, {b"x-part-stamps": ", ".join(marks).encode()}, body)
+def search(signatures, body):
+    return HttpResponse(200, {b"x-part-stamps": ", ".join(signatures).encode()}, body)
 
 
-# (case, calls, kind, answer, part of the finding or None)
+# (case, calls, kind, answer, text in the violation or None)
 CASES = [
-    ("good search", [], "sweep", search(["s/r/q", "t/r/q"], B + A), None),
-    ("records not of the parts", [], "sweep", search(["s/r/q"], B), "other records"),
-    ("shard twice", [], "sweep", search(["s/r/q", "s/r/q"], A), "a shard twice"),
-    ("part of another", [], "sweep", search(["s/r/p"], A), "of another request"),
+    ("valid search", [], "sweep", search(["s/r/q", "t/r/q"], B + A), None),
+    ("records of no shard answer", [], "sweep", search(["s/r/q"], B), "other records"),
+    (
+        "shard counted twice",
+        [],
+        "sweep",
+        search(["s/r/q", "s/r/q"], A),
+        "a shard twice",
+    ),
+    (
+        "answer of another request",
+        [],
+        "sweep",
+        search(["s/r/p"], A),
+        "of another request",
+    ),
     (
         "too many replicas",
         [("s", "a"), ("s", "b"), ("s", "c")],
         "sweep",
         None,
-        "ran on 3 of s",
+        "ran on 3 replicas of s",
     ),
-    ("hold twice", [("t", "a"), ("t", "a")], "hold", None, "ran 2 times"),
-    ("refused and run", [("t", "a")], "hold", HttpResponse(503), "had run"),
-    ("refused and not run", [], "hold", HttpResponse(503), None),
+    ("hold run twice", [("t", "a"), ("t", "a")], "hold", None, "ran 2 times"),
+    ("hold refused but run", [("t", "a")], "hold", HttpResponse(503), "had run"),
+    ("hold refused and not run", [], "hold", HttpResponse(503), None),
 ]
 
 
 @pytest.mark.parametrize(
-    ("calls", "kind", "answer", "finding"),
+    ("calls", "kind", "answer", "violation"),
     [case[1:] for case in CASES],
     ids=[case[0] for case in CASES],
 )
-def test_each_broken_promise_is_found(calls, kind, answer, finding):
-    """A soak whose checks see nothing proves nothing."""
+def test_each_violation_is_detected(calls, kind, answer, violation):
+    """A run without violations means nothing if the checks detect none."""
     evidence = Evidence(bodies={"s/r/q": A, "t/r/q": B})
     for service, replica in calls:
-        evidence.note_call("q", service, replica, 0.0)
-    evidence.note_answer("q", kind, answer)
-    assert bool(evidence.broken) == (finding is not None)
-    if finding is not None:
-        assert any(finding in item for item in evidence.broken)
+        evidence.record_call("q", service, replica, 0.0)
+    evidence.record_answer("q", kind, answer)
+    assert bool(evidence.violations) == (violation is not None)
+    if violation is not None:
+        assert any(violation in item for item in evidence.violations)
 
 
-def test_call_long_after_a_drain_is_found():
-    evidence = Evidence(drained_s={"a": 10.0})
-    evidence.note_call("q", "s", "a", 13.0)
-    assert not evidence.broken
-    evidence.note_call("q", "s", "a", 15.0)
-    assert evidence.broken
+def test_call_long_after_a_drain_notice_is_detected():
+    evidence = Evidence(drain_notice_s={"a": 10.0})
+    evidence.record_call("q", "s", "a", 13.0)
+    assert not evidence.violations
+    evidence.record_call("q", "s", "a", 15.0)
+    assert evidence.violations
 
 
 @pytest.mark.processes
-def test_short_seed_breaks_no_promise(tmp_path):
+def test_short_run_has_no_violations(tmp_path):
     evidence = asyncio.run(Soak(1, tmp_path, duration_s=3.0).run())
-    assert not evidence.broken
+    assert not evidence.violations
