--- a/chestnuthall/services/__init__.py
+++ b/chestnuthall/services/__init__.py
@@ -1,4 +1,4 @@
-"""Use cases of an entry instance, which join the decisions to the ports."""
+"""Use cases of an entry instance, which connect the decisions to the ports."""
 
 from chestnuthall.services._administration import (
     Administration,
--- a/chestnuthall/services/_administration.py
+++ b/chestnuthall/services/_administration.py
@@ -1,4 +1,4 @@
-"""What operators do to one instance."""
+"""Operator actions on one instance."""
 
 from chestnuthall.core.drains import DrainSignal
 from chestnuthall.core.results import NOT_FOUND, Failure
@@ -11,7 +11,7 @@
 
 
 class Administration:
-    """Drains this instance or a replica, and shows and lifts quarantines."""
+    """Drains this instance or a replica, and lists and lifts quarantines."""
 
     def __init__(
         self,
@@ -30,26 +30,26 @@
         self._clock = clock
 
     def drain_instance(self, name: str) -> Failure | None:
-        """Begin a graceful stop, if the name is that of this instance."""
+        """Begin a graceful stop if ``name`` is the name of this instance."""
         if name != self._identity.name:
             return NOT_FOUND.because(f"this instance is {self._identity.name}")
         self._lifecycle.announce_leave()
         return None
 
     def drain_replica(self, name: str) -> Failure | None:
-        """Stop new calls to a replica over the whole fleet, if it is known."""
+        """Stop new calls to a known replica across the fleet."""
         if not self._directory.knows_replica(name):
             return NOT_FOUND.because(f"no upstream named {name!r}")
         self._drains.signal(name, DrainSignal.OPERATOR)
         return None
 
     def resume_replica(self, name: str) -> None:
-        """End the drain of a replica, whatever began it."""
+        """End the drain of a replica, whatever signal started it."""
         now_ms = self._clock.now_ms()
         self._drains.note_back(name, DrainSignal.OPERATOR, now_ms)
 
     def quarantines(self) -> tuple[QuarantineView, ...]:
-        """Return the requests that have cost replicas."""
+        """Return the suspected and the quarantined requests."""
         now_ms = self._clock.now_ms()
         return tuple(
             QuarantineView(
@@ -62,7 +62,7 @@
         )
 
     async def lift_quarantine(self, fingerprint: str) -> Failure | None:
-        """Let a request run again over the whole fleet."""
+        """Lift the quarantine of a request across the fleet."""
         if await self._quarantines.lift(fingerprint):
             return None
-        return NOT_FOUND.because("no quarantine has this fingerprint here")
+        return NOT_FOUND.because("no quarantine with this fingerprint on this instance")
--- a/chestnuthall/services/_burn.py
+++ b/chestnuthall/services/_burn.py
@@ -1,4 +1,4 @@
-"""Counts outcomes on an instance and adds them to the stored counts."""
+"""Counts request outcomes and adds them to the stored burn counts."""
 
 import asyncio
 import logging
@@ -35,26 +35,26 @@
 
 BURN_KIND = "burn"
 STORE_TIMEOUT_MS = 2_000.0
-# Attempts within one flush; a change that is still open waits for the next one.
-N_TRIES_MAX = 4
+# Write attempts per flush; a delta that is still unresolved is left to the next one.
+N_WRITE_ATTEMPTS_MAX = 4
 RETRY_DELAY_MS = 200.0
 
 
 class BurnCodec(Protocol):
-    """Text form of the stored counts."""
+    """Converts a burn ledger to and from its stored text."""
 
     def encode(self, ledger: BurnLedger) -> str:
-        """Return the text that is stored."""
+        """Return the text to store."""
         ...
 
     def decode(self, text: str) -> BurnLedger | Failure:
-        """Return the counts that a text stands for."""
+        """Return the ledger that a stored text contains."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
-class _OpenDelta:
-    """A change that is not known to be stored, with the object it goes to."""
+class _UnresolvedDelta:
+    """A delta that is not known to be stored, and the object that it is added to."""
 
     object_name: str
     delta: BurnDelta
@@ -63,8 +63,9 @@
 class BurnRecorder:
     """Counts the outcomes of one instance.
 
-    ``writer`` must be unique to this run of the process, because its changes
-    are numbered from 1. What has not been flushed is lost with the process.
+    ``writer`` must be unique to this run of the process, because the sequence
+    numbers of its deltas start at 1. Counts that have not been flushed are lost
+    when the process ends.
     """
 
     def __init__(
@@ -90,26 +91,26 @@
         self._count_instances = count_instances
         self._random = random
         self._pending = BurnAccumulator()
-        self._open: _OpenDelta | None = None
+        self._unresolved: _UnresolvedDelta | None = None
         self._sequence = 0
-        # The last flush of a leaving instance may meet the periodic one.
+        # The last flush of a leaving instance may overlap with the periodic one.
         self._flushing = asyncio.Lock()
         self._n_by_result: dict[str, int] = {}
         self._since_wall_ms = 0.0
-        configuration.on_change(self._begin_revision)
+        configuration.on_change(self._reset_counts)
 
-    def _begin_revision(self, configuration: Configuration) -> None:
+    def _reset_counts(self, configuration: Configuration) -> None:
         self._n_by_result = {}
         self._since_wall_ms = self._clock.wall_ms()
 
     @property
     def since_wall_ms(self) -> float:
-        """When the configuration came into force here; 0 before the first."""
+        """Wall time at which the configuration came into force; 0 before the first."""
         return self._since_wall_ms
 
     @property
     def n_by_result(self) -> dict[str, int]:
-        """Requests by name of result since the configuration came into force."""
+        """Requests by result code since the configuration came into force."""
         return dict(self._n_by_result)
 
     def record(self, outcome: Answer | Refusal) -> None:
@@ -130,7 +131,7 @@
             self._metrics.count(f"burn.bad.{cause.value}")
 
     async def run(self) -> None:
-        """Flush at intervals that grow with the fleet, until cancelled."""
+        """Flush at intervals that grow with the fleet size, until cancelled."""
         # A random first delay spreads the writes of instances started together.
         await self._clock.sleep_ms(self._interval_ms() * self._random.random())
         while True:
@@ -141,34 +142,34 @@
         return flush_interval_ms(self._count_instances())
 
     async def flush(self) -> bool:
-        """Add the counts to the stored ones; return whether none are left."""
+        """Add pending counts to the stored ones; return whether none are left."""
         async with self._flushing:
             return await self._flush()
 
     async def _flush(self) -> bool:
-        if self._open is None and self._pending.is_empty:
+        if self._unresolved is None and self._pending.is_empty:
             return True
-        for _ in range(N_TRIES_MAX):
-            if self._open is None:
-                self._open = self._next_delta()
-            if await self._try_flush(self._open):
-                self._open = None
+        for _ in range(N_WRITE_ATTEMPTS_MAX):
+            if self._unresolved is None:
+                self._unresolved = self._next_delta()
+            if await self._try_flush(self._unresolved):
+                self._unresolved = None
                 return self._pending.is_empty
             await self._clock.sleep_ms(RETRY_DELAY_MS * (1.0 + self._random.random()))
         self._metrics.count("burn.flush_postponed")
         _log.warning("burn counts postponed")
         return False
 
-    def _next_delta(self) -> _OpenDelta:
+    def _next_delta(self) -> _UnresolvedDelta:
         self._sequence += 1
         counts = self._pending.take()
-        number = crc32(self._writer.encode())
-        part = part_of(number, self._count_instances())
-        name = f"{self._environment}.{part}"
-        return _OpenDelta(name, BurnDelta(self._writer, self._sequence, counts))
+        writer_hash = crc32(self._writer.encode())
+        partition = part_of(writer_hash, self._count_instances())
+        name = f"{self._environment}.{partition}"
+        return _UnresolvedDelta(name, BurnDelta(self._writer, self._sequence, counts))
 
-    async def _try_flush(self, item: _OpenDelta) -> bool:
-        """Attempt one write; return whether the change is settled."""
+    async def _try_flush(self, item: _UnresolvedDelta) -> bool:
+        """Attempt one write; return whether the delta is resolved."""
         read = await self._read(item.object_name)
         if isinstance(read, Failure):
             return False
@@ -180,11 +181,11 @@
         if decision is not DeltaDecision.ADD:
             return True
         delta = note_attempt(ledger, item.delta)
-        self._open = _OpenDelta(item.object_name, delta)
+        self._unresolved = _UnresolvedDelta(item.object_name, delta)
         text = self._codec.encode(add_delta(ledger, delta))
         written = await self._write(item.object_name, text, version)
-        # After a lost answer the next attempt finds the writer's mark if the
-        # write took effect.
+        # If the answer was lost, the next attempt learns from the writer's state
+        # in the ledger whether the write took effect.
         return isinstance(written, StoredObject)
 
     async def _read(self, name: str) -> tuple[BurnLedger, int] | Failure:
@@ -207,7 +208,7 @@
 async def read_burn(
     store: ObjectStore, codec: BurnCodec, environment: str
 ) -> BurnCounts | Failure:
-    """Return the counts of all parts of an environment, added up."""
+    """Return the counts of an environment, summed over its ledger partitions."""
     listed = await store.list_kind(BURN_KIND, STORE_TIMEOUT_MS)
     if isinstance(listed, Failure):
         return listed
--- a/chestnuthall/services/_claims.py
+++ b/chestnuthall/services/_claims.py
@@ -1,4 +1,4 @@
-"""Claims of idempotency keys in the object store."""
+"""Claims idempotency keys in the object store."""
 
 import asyncio
 from collections import deque
@@ -50,38 +50,39 @@
 from chestnuthall.ports import Clock, ObjectStore, StoredObject
 
 CLAIMS_KIND = "claims"
-# The store answers in milliseconds; a mutation must not wait out an outage.
+# The store answers within milliseconds; a mutation must not wait for the end of an
+# outage.
 STORE_TIMEOUT_MS = 500.0
-# Writes of claims by the whole fleet. The store takes several hundred a
-# second, and the instances' status objects need some of them.
+# Limit on the claim writes of the whole fleet. The store accepts several hundred
+# writes a second, some of which are needed for the instances' status objects.
 N_FLEET_WRITES_PER_S = 250.0
 N_BURST_WRITES = 8
-# Claims that would wait longer for a write are refused at once, so that those
-# that are written have time left to run.
-TURN_WAIT_MAX_MS = 300.0
-# An instance of a fleet that is too large for the budget still makes progress.
+# Claims that would wait longer for a write slot are refused at once, so that the
+# mutations whose claims are written have time left to run.
+WRITE_SLOT_WAIT_MAX_MS = 300.0
+# Lets every instance make progress when the fleet is too large for the limit.
 N_WRITES_PER_S_MIN = 1.0
-# Entries of all cached partitions together; each takes about 300 bytes.
+# Limit on the entries of all cached partitions; an entry takes about 300 bytes.
 N_CACHED_ENTRIES_MAX = 50_000
 
 
 class PartitionCodec(Protocol):
-    """Text form of a ledger partition."""
+    """Converts a ledger partition to and from its stored text."""
 
     def encode(self, partition: LedgerPartition) -> str:
-        """Return the text that is stored."""
+        """Return the text to store."""
         ...
 
     def decode(self, text: str) -> LedgerPartition | Failure:
-        """Return the partition that a text stands for."""
+        """Return the partition that a stored text contains."""
         ...
 
 
 class ClaimLedger:
-    """Claims keys by conditional updates of the partitions' objects.
+    """Claims idempotency keys by conditional updates of the partition objects.
 
-    ``n_instances`` returns the size of the fleet, over which the budget for
-    writes is divided.
+    ``n_instances`` returns the size of the fleet, by which the fleet-wide limit
+    on writes is divided.
     """
 
     def __init__(
@@ -99,22 +100,22 @@
         self._settings = settings
         self._n_instances = n_instances
         self._random = random or Random()
-        self._budget = WriteBudget(N_BURST_WRITES)
+        self._write_limiter = WriteBudget(N_BURST_WRITES)
         self._breaker = StoreBreaker()
-        self._turns: deque[str] = deque()
-        self._is_pacing = False
+        self._slot_queue: deque[str] = deque()
+        self._is_granting = False
         self._partitions: dict[str, PartitionClaims] = {}
         self._waiters: dict[str, asyncio.Future[Failure | None]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def claim(self, request: MutationRequest) -> KeyClaim | Failure:
-        """Claim the key of a request; return the claim, to abandon it by."""
+        """Claim the key of a request; return the claim, as ``abandon`` needs it."""
         claim = KeyClaim(
             request.idempotency_key, token_hex(8), float(request.issued_at_ms)
         )
         name = self._name_of(claim)
         if self._is_overloaded(name):
-            return RATE_LIMITED.because("too many claims wait to be written")
+            return RATE_LIMITED.because("too many claims are waiting for a write slot")
         waiter: asyncio.Future[Failure | None]
         waiter = asyncio.get_running_loop().create_future()
         self._waiters[claim.token] = waiter
@@ -123,22 +124,22 @@
         try:
             failure = await self._wait(claim, waiter, request.deadline_ms)
         except asyncio.CancelledError:
-            self._give_up(claim, waiter)
+            self._withdraw_or_abandon(claim, waiter)
             raise
         return claim if failure is None else failure
 
     def abandon(self, claim: KeyClaim) -> None:
-        """Release a claim that was never dispatched and never will be.
+        """Release a claim whose mutation was not and will not be dispatched.
 
-        Best effort: returns at once, and while the store is down the key stays
-        claimed.
+        Best effort: returns at once, and while the store is unavailable the key
+        stays claimed.
         """
         self._handle(
             self._name_of(claim), AbandonRequested(self._clock.wall_ms(), claim)
         )
 
     async def close(self) -> None:
-        """Stop the calls that are under way."""
+        """Cancel the store calls in progress."""
         for task in tuple(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -158,7 +159,7 @@
             self._withdraw(claim)
             return await waiter
         if waiter.result() is None and self._clock.now_ms() >= deadline_ms:
-            # The claim came too late to be dispatched.
+            # The claim was completed too late for the mutation to be dispatched.
             self.abandon(claim)
             return DEADLINE_PASSED.because("the deadline passed during the claim")
         return waiter.result()
@@ -166,7 +167,7 @@
     def _withdraw(self, claim: KeyClaim) -> None:
         self._handle(self._name_of(claim), ClaimWithdrawn(self._clock.wall_ms(), claim))
 
-    def _give_up(
+    def _withdraw_or_abandon(
         self, claim: KeyClaim, waiter: "asyncio.Future[Failure | None]"
     ) -> None:
         if waiter.done() and not waiter.cancelled():
@@ -185,7 +186,7 @@
             self._limit_cache(name)
 
     def _limit_cache(self, name: str) -> None:
-        """Forget the cached partitions that were used least recently."""
+        """Drop the least recently used partitions from a cache that is too large."""
         self._partitions[name] = self._partitions.pop(name)
         caches = [
             (item, len(item.cached[1].entries))
@@ -215,40 +216,42 @@
 
     @_perform.register
     def _(self, action: AwaitTurn, name: str) -> None:
-        self._turns.append(name)
-        if not self._is_pacing:
-            self._is_pacing = True
-            self._start(self._grant_turns())
+        self._slot_queue.append(name)
+        if not self._is_granting:
+            self._is_granting = True
+            self._start(self._grant_write_slots())
 
-    def _rate_per_s(self) -> float:
+    def _write_rate_per_s(self) -> float:
         rate_per_s = N_FLEET_WRITES_PER_S / max(1, self._n_instances())
         return max(rate_per_s, N_WRITES_PER_S_MIN)
 
-    async def _grant_turns(self) -> None:
-        """Grant turns in order, spaced by the budget; idle waits cost none."""
+    async def _grant_write_slots(self) -> None:
+        """Grant write slots in order at the limited rate; idle partitions use none."""
         try:
-            while self._turns:
-                await self._grant_turn(self._turns.popleft())
+            while self._slot_queue:
+                await self._grant_write_slot(self._slot_queue.popleft())
         finally:
-            self._is_pacing = False
+            self._is_granting = False
 
-    async def _grant_turn(self, name: str) -> None:
+    async def _grant_write_slot(self, name: str) -> None:
         if self._partitions[name].has_work:
             now_ms = self._clock.now_ms()
-            wait_ms = self._budget.reserve(now_ms, self._rate_per_s())
+            wait_ms = self._write_limiter.reserve(now_ms, self._write_rate_per_s())
             if wait_ms > 0.0:
                 await self._clock.sleep_ms(wait_ms)
         self._handle(name, TurnGranted(self._clock.wall_ms()))
 
     def _is_overloaded(self, name: str) -> bool:
-        """Return whether a new turn would come too late to be of use."""
+        """Return whether a new claim would wait too long for a write slot."""
         partition = self._partitions.get(name)
         if partition is not None and partition.phase is not Phase.IDLE:
             return False
         n_busy = sum(
             1 for item in self._partitions.values() if item.phase is not Phase.IDLE
         )
-        n_max = N_BURST_WRITES + self._rate_per_s() * TURN_WAIT_MAX_MS / 1000.0
+        n_max = (
+            N_BURST_WRITES + self._write_rate_per_s() * WRITE_SLOT_WAIT_MAX_MS / 1000.0
+        )
         return n_busy > n_max
 
     @_perform.register
@@ -259,24 +262,24 @@
     def _(self, action: WritePartition, name: str) -> None:
         self._start(self._write(name, action))
 
-    def _start(self, work: Coroutine[None, None, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _start(self, coroutine: Coroutine[None, None, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def _sleep(
-        self, name: str, duration_ms: float, ended: Callable[[float], ClaimEvent]
+        self, name: str, duration_ms: float, make_event: Callable[[float], ClaimEvent]
     ) -> None:
         if duration_ms > 0.0:
             await self._clock.sleep_ms(duration_ms)
-        self._handle(name, ended(self._clock.wall_ms()))
+        self._handle(name, make_event(self._clock.wall_ms()))
 
     async def _read(self, name: str) -> None:
-        self._handle(name, await self._read_event(name))
+        self._handle(name, await self._read_partition(name))
 
-    async def _read_event(self, name: str) -> ClaimEvent:
+    async def _read_partition(self, name: str) -> ClaimEvent:
         if not self._breaker.allows(self._clock.now_ms()):
-            failure = STORE_UNAVAILABLE.because("the last calls to the store failed")
+            failure = STORE_UNAVAILABLE.because("the store circuit breaker is open")
             return ReadFailed(self._clock.wall_ms(), failure)
         stored = await self._store.get(CLAIMS_KIND, name, STORE_TIMEOUT_MS)
         wall_ms = self._clock.wall_ms()
@@ -295,7 +298,7 @@
     async def _write(self, name: str, action: WritePartition) -> None:
         text = self._codec.encode(action.partition)
         written = await self._store_text(name, action.version, text)
-        self._handle(name, self._event_of_write(written))
+        self._handle(name, self._event_from_write(written))
 
     async def _store_text(
         self, name: str, version: int, text: str
@@ -306,7 +309,7 @@
             CLAIMS_KIND, name, text, version, STORE_TIMEOUT_MS
         )
 
-    def _event_of_write(self, written: StoredObject | Failure) -> ClaimEvent:
+    def _event_from_write(self, written: StoredObject | Failure) -> ClaimEvent:
         wall_ms = self._clock.wall_ms()
         if isinstance(written, StoredObject):
             return WriteSucceeded(wall_ms, written.version)
--- a/chestnuthall/services/_configuration.py
+++ b/chestnuthall/services/_configuration.py
@@ -28,8 +28,8 @@
 _log = logging.getLogger(__name__)
 
 ENVIRONMENT_KIND = "environments"
-# Many times the usual answer, and short beside the time in which a store that has
-# returned counts as stable.
+# Many times the usual response time, and short compared with the time after which
+# a recovered store counts as stable.
 STORE_TIMEOUT_MS = 1_000.0
 
 ConfigurationReader = Callable[[str], Configuration | Failure]
@@ -42,12 +42,12 @@
 
 
 class ConfigurationKeeper:
-    """Applies accepted configurations in order of revision, and never back.
+    """Applies accepted configurations in order of revision, never an older one.
 
     ``fetch_from_peers`` returns the stored texts that peers have in force.
-    ``is_watcher`` says whether this instance watches the store now; any other
-    instance relies on peers that pass ``confirm`` on, and reads the store when
-    they do not.
+    ``is_watcher`` returns whether this instance watches the store now; any other
+    instance relies on the confirmations that peers send, and reads the store when
+    it receives none.
     """
 
     def __init__(
@@ -70,7 +70,7 @@
         self._listeners: list[ConfigurationListener] = []
         self._follower = StoreFollower(watch_timeout_ms)
         self._confirmed_ms = float("-inf")
-        self._has_asked = False
+        self._has_queried = False
 
     @property
     def in_force(self) -> Configuration | None:
@@ -84,18 +84,18 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether store and peers were asked and a configuration is in force."""
-        return self._has_asked and self._in_force is not None
+        """Whether store and peers were queried and a configuration is in force."""
+        return self._has_queried and self._in_force is not None
 
     @property
     def confirmation_age_ms(self) -> float:
-        """Time since the store confirmed, here or at a peer, what is in force."""
+        """Time since the store confirmed the revision, to this instance or a peer."""
         return self._clock.now_ms() - self._confirmed_ms
 
     def confirm(self, revision: int, age_ms: float) -> None:
-        """Note that a revision was the newest one ``age_ms`` ago.
+        """Record that a revision was the newest one ``age_ms`` ago.
 
-        Ignored while this instance is behind that revision.
+        Ignored while this instance has an older revision in force.
         """
         if self.revision >= revision > 0:
             confirmed_ms = self._clock.now_ms() - max(0.0, age_ms)
@@ -132,7 +132,7 @@
         )
 
     def offer_text(self, text: str, source: str) -> RevisionDecision | Failure:
-        """Read a stored configuration and apply it if it is newer."""
+        """Parse a stored configuration and apply it if it is newer."""
         configuration = self._read(text)
         if isinstance(configuration, Failure):
             _log.error("invalid configuration", extra={"reason": configuration.reason})
@@ -140,18 +140,18 @@
         return self.offer(configuration, source)
 
     async def run(self) -> None:
-        """Ask store and peers, then follow the store until cancelled."""
-        event = await self._ask_all()
+        """Query store and peers, then follow the store until cancelled."""
+        event = await self._query_all()
         while True:
             event = await self._perform(self._follower.handle(event))
 
-    async def _ask_all(self) -> FollowEvent:
-        """Ask the store and peers at once and take the highest revision."""
-        event, _ = await asyncio.gather(self._perform(Load()), self._ask_peers())
-        self._has_asked = True
+    async def _query_all(self) -> FollowEvent:
+        """Query store and peers concurrently and apply the highest revision."""
+        event, _ = await asyncio.gather(self._perform(Load()), self._query_peers())
+        self._has_queried = True
         return event
 
-    async def _ask_peers(self) -> None:
+    async def _query_peers(self) -> None:
         for text in await self._fetch_from_peers():
             self.offer_text(text, "peer")
 
@@ -167,13 +167,13 @@
         )
         now_ms = self._clock.now_ms()
         if not isinstance(stored, Failure):
-            self._take_loaded(stored.value, now_ms - started_ms)
+            self._apply_stored(stored.value, now_ms - started_ms)
             return Loaded(now_ms, stored.seen_version or stored.version)
         if stored.kind is OBJECT_NOT_FOUND:
             return Loaded(now_ms, 0)
         return StoreFailed(now_ms)
 
-    def _take_loaded(self, text: str, age_ms: float) -> None:
+    def _apply_stored(self, text: str, age_ms: float) -> None:
         loaded = self._read(text)
         if isinstance(loaded, Failure):
             _log.error("invalid configuration", extra={"reason": loaded.reason})
@@ -204,7 +204,7 @@
     async def _(self, action: Pause) -> FollowEvent:
         await self._clock.sleep_ms(action.duration_ms)
         if self._in_force is None:
-            await self._ask_peers()
+            await self._query_peers()
         return PauseEnded(self._clock.now_ms(), self._is_watcher(), self._confirmed_ms)
 
     async def wait_in_force(self) -> Configuration:
--- a/chestnuthall/services/_configuration_peers.py
+++ b/chestnuthall/services/_configuration_peers.py
@@ -1,4 +1,4 @@
-"""Configurations that peers have in force."""
+"""Reads of the configurations that peers have in force."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -7,15 +7,16 @@
 from chestnuthall.core.results import Failure
 from chestnuthall.ports import Clock, MemberUpdate, PeerTransport
 
-N_PEERS_ASKED = 5
+N_PEERS_QUERIED = 5
 FETCH_TIMEOUT_MS = 500.0
-# A starting instance learns its peers from a list that is read meanwhile.
+# Wait for the first peers: a starting instance reads the list of instances at the
+# same time.
 MEMBERS_WAIT_MS = 500.0
 MEMBERS_INTERVAL_MS = 50.0
 
 
 class PeerConfigurations:
-    """Asks some of the known peers for the configuration in force."""
+    """Queries a sample of the known peers for the configuration in force."""
 
     def __init__(
         self,
@@ -30,13 +31,13 @@
         self._random = random
 
     async def fetch(self) -> tuple[str, ...]:
-        """Return the stored texts of the peers that answered and know one."""
+        """Return the stored texts of the peers that have a configuration."""
         members = await self._wait_members()
-        asked = self._random.sample(members, min(N_PEERS_ASKED, len(members)))
+        queried = self._random.sample(members, min(N_PEERS_QUERIED, len(members)))
         answers = await asyncio.gather(
             *(
                 self._transport.fetch_configuration(peer.address, FETCH_TIMEOUT_MS)
-                for peer in asked
+                for peer in queried
             )
         )
         found = [item for item in answers if not isinstance(item, Failure)]
--- a/chestnuthall/services/_instance_list.py
+++ b/chestnuthall/services/_instance_list.py
@@ -12,9 +12,9 @@
 STORE_TIMEOUT_MS = 2_000.0
 WATCH_TIMEOUT_MS = 30_000.0
 RETRY_DELAY_MS = 1_000.0
-# A watch misses changes that the store no longer remembers. The whole list of
-# 1,900 instances and 13,000 replicas is about 2 MB, 570 bytes a second if it
-# is read once an hour.
+# The list is read again because a watch misses changes that the store no longer
+# keeps. The complete list of 1,900 instances and 13,000 replicas is about 2 MB,
+# which is 570 bytes a second if it is read once an hour.
 RELOAD_INTERVAL_MS = 3_600_000.0
 
 N_REPORT_ATTEMPTS = 3
@@ -25,7 +25,7 @@
 
 
 class InstanceList:
-    """Keeps the last known list and tells listeners of each change."""
+    """Keeps the last known list and notifies listeners of each change."""
 
     def __init__(
         self, store: ObjectStore, clock: Clock, read_entry: ListEntryReader
@@ -37,11 +37,11 @@
         self._listeners: list[ListListener] = []
 
     def entries(self) -> tuple[ListEntry, ...]:
-        """Return the last known list; empty before it was read."""
+        """Return the last known list; empty before the first read."""
         return tuple(self._entries.values())
 
     def on_change(self, listener: ListListener) -> None:
-        """Call a listener with the whole list after each change."""
+        """Call a listener with the complete list after each change."""
         self._listeners.append(listener)
 
     async def run(self) -> None:
@@ -56,7 +56,7 @@
                 version = await self._follow(version)
 
     async def report_leaving(self, name: str, mark: LeavingMarker) -> None:
-        """Enter in the platform's list that an instance leaves."""
+        """Mark an instance as leaving in the platform's list."""
         for _ in range(N_REPORT_ATTEMPTS):
             stored = await self._store.get(INSTANCE_KIND, name, STORE_TIMEOUT_MS)
             if isinstance(stored, Failure):
@@ -78,8 +78,8 @@
             return None
         self._entries = {}
         for stored in listed:
-            self._note(stored)
-        self._tell_listeners()
+            self._update_entry(stored)
+        self._notify_listeners()
         return max((stored.version for stored in listed), default=0)
 
     async def _follow(self, version: int) -> int:
@@ -88,14 +88,14 @@
             await self._clock.sleep_ms(RETRY_DELAY_MS)
             return version
         for stored in batch.changed:
-            self._note(stored)
+            self._update_entry(stored)
         for name in batch.deleted_names:
             self._entries.pop(name, None)
         if batch.changed or batch.deleted_names:
-            self._tell_listeners()
+            self._notify_listeners()
         return batch.version
 
-    def _note(self, stored: StoredObject) -> None:
+    def _update_entry(self, stored: StoredObject) -> None:
         entry = self._read_entry(stored.value)
         if entry is None:
             _log.error("invalid list entry", extra={"object_name": stored.name})
@@ -103,7 +103,7 @@
         else:
             self._entries[stored.name] = entry
 
-    def _tell_listeners(self) -> None:
+    def _notify_listeners(self) -> None:
         entries = self.entries()
         for listener in self._listeners:
             listener(entries)
--- a/chestnuthall/services/_lifecycle.py
+++ b/chestnuthall/services/_lifecycle.py
@@ -7,20 +7,22 @@
 
 _log = logging.getLogger(__name__)
 
-# How long the last bytes of an answer may take to reach a slow caller, and the
-# rest of a request to arrive, after all other requests have ended.
+# Time after the end of all other requests for the last bytes of an answer to reach
+# a slow caller, and for the remainder of a request to arrive.
 LINGER_MS = 10_000.0
 
 
 class Lifecycle:
     """Counts the requests in flight and carries out a graceful stop.
 
-    A stop is announced first, so that the balancer can move callers away; the
-    instance serves on meanwhile. It then waits for what is in flight.
+    A stop is announced first, and the instance continues to serve, so that the
+    load balancer can move callers to other instances. It then waits for the
+    requests in flight.
 
-    ``quiet_ms`` is the first part of the notice, in which kept connections are
-    not ended yet, since new ones would still arrive here. A stop takes at most
-    ``stop_within_ms`` where the platform ends the process after that.
+    ``quiet_ms`` is the time from the start of the leave notice during which
+    persistent connections are not closed yet, because callers that reconnect would
+    still reach this instance. ``stop_within_ms`` bounds the stop where the platform
+    ends the process after that time.
     """
 
     def __init__(
@@ -47,11 +49,11 @@
 
     @property
     def n_in_flight(self) -> int:
-        """Number of requests that have begun and not ended."""
+        """Number of requests that have started and not ended."""
         return self._n_in_flight
 
     def announce_leave(self) -> None:
-        """Begin to leave; a repeated signal changes nothing."""
+        """Announce the stop; repeated calls have no effect."""
         self._leaving.set()
 
     async def wait_leave(self) -> None:
@@ -59,21 +61,22 @@
         await self._leaving.wait()
 
     def begin_request(self) -> None:
-        """Note a request that has begun."""
+        """Record the start of a request."""
         self._n_in_flight += 1
         self._idle.clear()
 
     def end_request(self) -> None:
-        """Note a request that has ended."""
+        """Record the end of a request."""
         self._n_in_flight -= 1
         if self._n_in_flight == 0:
             self._idle.set()
 
     async def drain(self, listener: CallerListener, was_ready: bool = True) -> None:
-        """Serve on for the notice, then stop listening and finish all requests.
+        """Serve during the leave notice, then stop listening and finish all requests.
 
-        An instance that was never ready has no callers to move away. Without a
-        limit on the stop there is none on requests: each has its own deadline.
+        An instance that was never ready has no callers to move, so it skips the
+        notice. Without ``stop_within_ms`` the wait for the requests is not bounded
+        here, because each has its own deadline.
         """
         limit_ms = self._stop_within_ms
         timeout_s = None if limit_ms is None else limit_ms / 1000.0
--- a/chestnuthall/services/_membership.py
+++ b/chestnuthall/services/_membership.py
@@ -1,4 +1,4 @@
-"""The other instances of the fleet, and what is exchanged with them."""
+"""Fleet membership, and the digests that are exchanged with peers."""
 
 import asyncio
 import logging
@@ -47,9 +47,9 @@
 
 _log = logging.getLogger(__name__)
 
-# Each instance tells so many peers of urgent news. At 1,900 instances this
-# leaves out 0.7% (five) or 5% (three); with three, some instances are left out
-# of the next round of probes too, and hear later than 3 s.
+# Number of peers to which an instance sends urgent updates and notices. At 1,900
+# instances, five peers miss 0.7% of the fleet and three peers 5%; with three, some
+# instances are missed by the next round of probes too and are notified after 3 s.
 N_URGENT_PEERS = 5
 
 CountsListener = Callable[[FleetCounts], None]
@@ -59,14 +59,14 @@
 
 
 class DigestPart(Protocol):
-    """A service that has news to exchange with each probe."""
+    """A service that exchanges a section of the digest with each probe."""
 
     def fill(self, digest: PeerDigest) -> PeerDigest:
-        """Return the digest with this service's news added."""
+        """Return the digest with this service's section added."""
         ...
 
     def absorb(self, digest: PeerDigest) -> None:
-        """Take in the news of a peer."""
+        """Process this service's section of a peer's digest."""
         ...
 
 
@@ -80,7 +80,7 @@
 
 
 class Membership:
-    """Carries out the decisions of the membership machine."""
+    """Performs the actions of the membership state machine."""
 
     def __init__(
         self,
@@ -98,7 +98,7 @@
         self._clock = clock
         self._configuration = configuration
         self._random = random
-        self._parts = list(parts)
+        self._sections = list(parts)
         self._settings = settings or MembershipSettings()
         # The start time makes the incarnation of a restarted instance higher
         # than that of its predecessor, without any stored state.
@@ -119,7 +119,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._fetching_revision = 0
         self._shard_set_handler: ShardSetHandler | None = None
-        instances.on_change(self._read_list)
+        instances.on_change(self._process_list)
 
     @property
     def identity(self) -> Identity:
@@ -133,17 +133,17 @@
 
     @property
     def counts(self) -> FleetCounts:
-        """How many instances there are, this one included."""
+        """Number of instances by state, including this one."""
         return self._machine.counts
 
     @property
     def n_instances(self) -> int:
-        """Number of live instances of the fleet, this one included."""
+        """Number of live instances of the fleet, including this one."""
         return max(1, self.counts.n_live)
 
-    def add_part(self, part: DigestPart) -> None:
-        """Exchange the news of one more service."""
-        self._parts.append(part)
+    def add_part(self, section: DigestPart) -> None:
+        """Add the section of a service to the digests."""
+        self._sections.append(section)
 
     def on_change(self, listener: CountsListener) -> None:
         """Call a listener with the counts after each change."""
@@ -155,10 +155,10 @@
 
     def members(self) -> tuple[MemberUpdate, ...]:
         """Return the other instances that are not known to be dead."""
-        return tuple(_update_of(news) for news in self._machine.members())
+        return tuple(_update_of(record) for record in self._machine.members())
 
     def digest(self, recipient: str = "") -> PeerDigest:
-        """Return what this instance tells a peer; its size is bounded."""
+        """Return the digest for a peer; its size is bounded."""
         in_force = self._configuration.in_force
         digest = PeerDigest(
             sender=self._identity.name,
@@ -168,13 +168,13 @@
             configuration_digest="" if in_force is None else in_force.digest,
             members=tuple(map(_update_of, self._machine.take_news(recipient))),
         )
-        for part in self._parts:
-            digest = part.fill(digest)
+        for section in self._sections:
+            digest = section.fill(digest)
         return digest
 
     async def receive(self, digest: PeerDigest) -> PeerDigest:
-        """Take in the digest of a peer and return the own one."""
-        self._take_in(digest)
+        """Process the digest of a peer and return the own one."""
+        self._process_digest(digest)
         return self.digest(digest.sender)
 
     async def probe_for(self, target_address: str) -> bool:
@@ -184,7 +184,7 @@
         )
         if isinstance(answer, Failure):
             return False
-        self._take_in(answer)
+        self._process_digest(answer)
         return True
 
     def configuration(self) -> PeerConfiguration | None:
@@ -200,17 +200,17 @@
         )
 
     async def query_shards(self, call: ShardSetCall) -> PartialAnswer | Failure:
-        """Answer for a set of shards, if a two-level fan-out is set up."""
+        """Answer for a set of shards, if the two-level fan-out is enabled."""
         if self._shard_set_handler is None:
             return NOT_READY.because("the two-level fan-out is off")
         return await self._shard_set_handler(call)
 
     def set_shard_set_handler(self, handler: ShardSetHandler) -> None:
-        """Answer for sets of shards from now on."""
+        """Set the handler that answers for sets of shards."""
         self._shard_set_handler = handler
 
     async def run(self) -> None:
-        """Probe one peer an interval until cancelled."""
+        """Probe one peer per interval until cancelled."""
         try:
             while True:
                 self._handle(Tick(self._clock.now_ms()))
@@ -220,22 +220,22 @@
                 task.cancel()
 
     async def spread_now(self, n_peers: int) -> None:
-        """Exchange digests at once with some peers; for urgent news."""
+        """Exchange digests with random peers at once, for urgent notices."""
         peers = self._machine.members()
         chosen = self._random.sample(peers, min(n_peers, len(peers)))
         await asyncio.gather(*(self._exchange_with(peer) for peer in chosen))
 
     async def announce_leave(self) -> None:
-        """Tell peers that this instance leaves."""
+        """Notify peers that this instance is leaving."""
         self._handle(LeaveAnnounced(self._clock.now_ms()))
         await self.spread_now(N_URGENT_PEERS)
 
     async def finish_leave(self) -> None:
-        """Tell peers that this instance is gone, so that none has to probe it."""
+        """Notify peers that this instance has left, so that none probes it."""
         self._handle(LeaveFinished(self._clock.now_ms()))
         await self.spread_now(N_URGENT_PEERS)
 
-    def _read_list(self, entries: tuple[ListEntry, ...]) -> None:
+    def _process_list(self, entries: tuple[ListEntry, ...]) -> None:
         listed = tuple(
             ListedInstance(item.name, item.peer_address, item.zone, item.is_leaving)
             for item in entries
@@ -257,7 +257,7 @@
 
     @_perform.register
     def _(self, action: ProbeThrough) -> None:
-        self._spawn(self._probe_through(action))
+        self._spawn(self._probe_indirectly(action))
 
     @_perform.register
     def _(self, action: CountsChanged) -> None:
@@ -272,8 +272,8 @@
         for listener in self._superseded_listeners:
             listener()
 
-    def _spawn(self, work: Coroutine[None, None, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _spawn(self, coroutine: Coroutine[None, None, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -290,9 +290,9 @@
             self._handle(ProbeAnswered(now_ms, action.probe_id))
         else:
             self._handle(AddressTaken(now_ms, action.probe_id))
-        self._take_in(answer)
+        self._process_digest(answer)
 
-    async def _probe_through(self, action: ProbeThrough) -> None:
+    async def _probe_indirectly(self, action: ProbeThrough) -> None:
         is_alive = await self._peers.probe_for(
             action.helper_address,
             action.target_address,
@@ -306,15 +306,15 @@
             peer.address, self.digest(peer.name), self._settings.probe_timeout_ms
         )
         if not isinstance(answer, Failure):
-            self._take_in(answer)
-
-    def _take_in(self, digest: PeerDigest) -> None:
-        sender, news = _read_news(digest)
-        self._handle(NewsReceived(self._clock.now_ms(), sender, news))
-        for part in self._parts:
-            part.absorb(digest)
-        # The answer to the peer does not wait for the document, because a slow
-        # answer would look like a failed probe.
+            self._process_digest(answer)
+
+    def _process_digest(self, digest: PeerDigest) -> None:
+        sender, others = _records_of(digest)
+        self._handle(NewsReceived(self._clock.now_ms(), sender, others))
+        for section in self._sections:
+            section.absorb(digest)
+        # The answer to the peer does not wait for the configuration, because the
+        # peer would take a slow answer for a failed probe.
         revision = digest.configuration_revision
         if revision > max(self._configuration.revision, self._fetching_revision):
             self._fetching_revision = revision
@@ -331,16 +331,16 @@
             self._configuration.offer_text(fetched.text, f"peer {digest.sender}")
 
 
-def _update_of(news: MemberNews) -> MemberUpdate:
+def _update_of(record: MemberNews) -> MemberUpdate:
     return MemberUpdate(
-        news.name, news.address, news.zone, news.state.value, news.incarnation
+        record.name, record.address, record.zone, record.state.value, record.incarnation
     )
 
 
-def _read_news(digest: PeerDigest) -> tuple[MemberNews, tuple[MemberNews, ...]]:
-    """Return what the sender says of itself, and its other news.
+def _records_of(digest: PeerDigest) -> tuple[MemberNews, tuple[MemberNews, ...]]:
+    """Return the sender's record of itself, and its records of other instances.
 
-    A state that this version does not know is left out.
+    Records with a state that this version does not know are skipped.
     """
     sender = MemberNews(
         digest.sender, digest.sender_address, "", MemberState.ALIVE, digest.incarnation
@@ -350,9 +350,9 @@
         state = _STATES.get(item.state)
         if state is None:
             continue
-        news = MemberNews(item.name, item.address, item.zone, state, item.incarnation)
-        if news.name == digest.sender:
-            sender = news
+        record = MemberNews(item.name, item.address, item.zone, state, item.incarnation)
+        if record.name == digest.sender:
+            sender = record
         else:
-            others.append(news)
+            others.append(record)
     return sender, tuple(others)
--- a/chestnuthall/services/_object_feed.py
+++ b/chestnuthall/services/_object_feed.py
@@ -1,4 +1,4 @@
-"""The objects of one kind that an instance knows, for its peers to follow."""
+"""A feed of the store's objects of one kind, for peers to watch."""
 
 import asyncio
 from collections import deque
@@ -8,16 +8,16 @@
 from chestnuthall.core.results import HISTORY_TRIMMED, STORE_UNAVAILABLE, Failure
 from chestnuthall.ports import Clock, FeedAnswer, StoredObject, WatchBatch
 
-# Batches of changes kept for peers; one that is further behind reads the store.
+# Batches of changes kept for peers; a peer that is further behind reads the store.
 N_BATCHES_KEPT = 64
 
 
 class ObjectFeed:
     """Objects of one kind with their latest changes.
 
-    ``confirm`` notes that the store said at a time that nothing else has changed.
-    A watch is served only while that is at most ``age_max_ms`` ago, since a peer
-    that follows this instance has no other news.
+    ``confirm`` records when the store confirmed that nothing else has changed. A
+    watch is served only while that is at most ``age_max_ms`` ago, since a peer that
+    follows this instance has no other source of changes.
     """
 
     def __init__(self, clock: Clock, age_max_ms: float) -> None:
@@ -25,43 +25,43 @@
         self._age_max_ms = age_max_ms
         self._objects: dict[str, StoredObject] = {}
         self._batches: deque[WatchBatch] = deque()
-        self._complete_from = 0
+        self._complete_from_version = 0
         self._confirmed_ms = float("-inf")
         self._changed = asyncio.Event()
         self.version = 0
 
     @property
     def is_loaded(self) -> bool:
-        """Whether the objects were read once."""
+        """Whether the objects have been read."""
         return self.version > 0
 
     @property
     def age_ms(self) -> float:
-        """Time since the store confirmed what is known here."""
+        """Time since the store confirmed the contents."""
         return self._clock.now_ms() - self._confirmed_ms
 
     def confirm(self, age_ms: float = 0.0) -> None:
-        """Note that the store confirmed ``age_ms`` ago what is known."""
+        """Record that the store confirmed the contents ``age_ms`` ago."""
         confirmed_ms = self._clock.now_ms() - age_ms
         self._confirmed_ms = max(self._confirmed_ms, confirmed_ms)
 
     def load(self, objects: Sequence[StoredObject], version: int) -> None:
-        """Take in all objects as they were at a version, as changes since the last."""
+        """Replace the contents by a full listing; the differences become a batch."""
         if version < self.version:
             return
-        changed = tuple(item for item in objects if self._is_news(item))
+        changed = tuple(item for item in objects if self._is_newer(item))
         names = {item.name for item in objects}
         deleted = tuple(name for name in self._objects if name not in names)
         if not self.is_loaded:
-            self._complete_from = version
+            self._complete_from_version = version
         self.apply(WatchBatch(version, changed, deleted))
 
-    def _is_news(self, item: StoredObject) -> bool:
+    def _is_newer(self, item: StoredObject) -> bool:
         known = self._objects.get(item.name)
         return known is None or known.version < item.version
 
     def apply(self, batch: WatchBatch) -> None:
-        """Take in changes, and wake the peers that wait for them."""
+        """Apply a batch of changes, and wake the watches that wait for one."""
         for item in batch.changed:
             self._objects[item.name] = item
         for name in batch.deleted_names:
@@ -71,12 +71,12 @@
             return
         self._batches.append(batch)
         if len(self._batches) > N_BATCHES_KEPT:
-            self._complete_from = self._batches.popleft().version
+            self._complete_from_version = self._batches.popleft().version
         self._changed.set()
         self._changed = asyncio.Event()
 
     def snapshot(self) -> FeedAnswer:
-        """Return all objects with the version from which to follow."""
+        """Return all objects with the version from which to watch."""
         objects = tuple(
             replace(item, seen_version=self.version) for item in self._objects.values()
         )
@@ -85,18 +85,20 @@
     async def watch(
         self, after_version: int, timeout_ms: float
     ) -> FeedAnswer | Failure:
-        """Return the changes after a version once there are any, or nothing."""
-        ends_ms = self._clock.now_ms() + timeout_ms
+        """Wait for changes after a version; an empty batch on timeout."""
+        ends_at_ms = self._clock.now_ms() + timeout_ms
         while True:
             if not self.is_loaded or self.age_ms > self._age_max_ms:
-                return STORE_UNAVAILABLE.because("no news from the store")
-            if after_version < self._complete_from:
+                return STORE_UNAVAILABLE.because(
+                    "the store has not confirmed the feed recently"
+                )
+            if after_version < self._complete_from_version:
                 return HISTORY_TRIMMED.because("the changes are no longer kept")
             batch = self._changes_after(after_version)
-            left_ms = ends_ms - self._clock.now_ms()
+            left_ms = ends_at_ms - self._clock.now_ms()
             if batch.changed or batch.deleted_names or left_ms <= 0.0:
                 return FeedAnswer(batch, self.age_ms)
-            # The age is looked at again while there is no news.
+            # The wait is split, so that the age is checked while nothing changes.
             await self._wait_changed(min(left_ms, self._age_max_ms / 4.0))
 
     async def _wait_changed(self, timeout_ms: float) -> None:
--- a/chestnuthall/services/_presence.py
+++ b/chestnuthall/services/_presence.py
@@ -1,4 +1,4 @@
-"""How many instances there are, from their entries in the store."""
+"""Counts the instances of the fleet by their entries in the store."""
 
 import logging
 from collections.abc import Callable, Sequence
@@ -12,15 +12,16 @@
 PRESENCE_KIND = "instance-entries"
 STORE_TIMEOUT_MS = 2_000.0
 RETRY_DELAY_MS = 1_000.0
-# The other instances of a fleet that starts at once have written their entries by
-# the first listing. An earlier count would divide allowances among too few.
-FIRST_LISTING_MS = 3_000.0
+# Delay of the first listing, by which the instances of a fleet that starts together
+# have written their entries. An earlier count would divide the fleet-wide limits by
+# too few instances.
+FIRST_LISTING_DELAY_MS = 3_000.0
 LISTING_INTERVAL_MS = 10_000.0
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceEntry:
-    """What an instance says of itself; ``address`` is the one for its peers."""
+    """Entry of an instance about itself; ``address`` is the one for its peers."""
 
     name: str
     address: str
@@ -32,11 +33,10 @@
 
 
 class Presence:
-    """Enters this instance in the store once, and counts the entries.
+    """Writes the entry of this instance to the store once, and counts the entries.
 
-    An entry stays when its instance ends, so the count is an upper bound of the
-    instances that may be running. That is what the division of a fleet-wide
-    allowance needs.
+    An entry stays when its instance ends, so the count is an upper bound on the
+    number of running instances, as the division of a fleet-wide limit needs it.
     """
 
     def __init__(
@@ -55,33 +55,33 @@
         self._read = read
         self._write = write
         self.n_instances: int | None = None
-        # The other instances, also those that are down.
+        # The other instances, including unavailable ones.
         self.peers: tuple[InstanceEntry, ...] = ()
 
     @property
     def near_peers(self) -> tuple[InstanceEntry, ...]:
-        """The other instances in this zone, also those that are down."""
+        """The other instances in this zone, including unavailable ones."""
         return tuple(item for item in self.peers if item.zone == self._own.zone)
 
     def n_near(self) -> int:
-        """Return the number of instances in this zone, with this one."""
+        """Return the number of instances in this zone, including this one."""
         return 1 + len(self.near_peers)
 
     async def run(self) -> None:
-        """Enter this instance, then list the entries until cancelled."""
-        while (is_new := await self._enter()) is None:
+        """Write the own entry, then list all entries until cancelled."""
+        while (is_new := await self._create_entry()) is None:
             await self._clock.sleep_ms(RETRY_DELAY_MS)
         if is_new:
-            await self._clock.sleep_ms(FIRST_LISTING_MS)
+            await self._clock.sleep_ms(FIRST_LISTING_DELAY_MS)
         while True:
             is_listed = await self._count()
             delay_ms = LISTING_INTERVAL_MS if is_listed else RETRY_DELAY_MS
             await self._clock.sleep_ms(delay_ms)
 
-    async def _enter(self) -> bool | None:
+    async def _create_entry(self) -> bool | None:
         """Return whether the entry is new, or None if it could not be written.
 
-        After a restart, the entries of the others are there already.
+        After a restart the entry exists, and so do those of the other instances.
         """
         created = await self._store.create(
             PRESENCE_KIND, self._own.name, self._write(self._own), STORE_TIMEOUT_MS
@@ -103,11 +103,11 @@
             self.n_instances = len(names)
             _log.info("instances counted", extra={"n_instances": self.n_instances})
         self._on_counted(len(names))
-        self._note_peers(listed)
-        return await self._correct_own(listed)
+        self._update_peers(listed)
+        return await self._correct_own_entry(listed)
 
-    async def _correct_own(self, listed: Sequence[StoredObject]) -> bool:
-        """Replace the entry of an earlier start that said something else."""
+    async def _correct_own_entry(self, listed: Sequence[StoredObject]) -> bool:
+        """Replace the own entry if an earlier start wrote other values."""
         value = self._write(self._own)
         for stored in listed:
             if stored.name == self._own.name and self._read(stored) != self._own:
@@ -121,7 +121,7 @@
                 return not isinstance(written, Failure)
         return True
 
-    def _note_peers(self, listed: Sequence[StoredObject]) -> None:
+    def _update_peers(self, listed: Sequence[StoredObject]) -> None:
         peers = []
         for stored in listed:
             entry = self._read(stored)
--- a/chestnuthall/services/_publication.py
+++ b/chestnuthall/services/_publication.py
@@ -1,4 +1,4 @@
-"""Puts documents in force and promotes them."""
+"""Publishes and promotes configuration documents."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -20,7 +20,7 @@
 
 
 class Publication:
-    """Carries out the rules of revisions and promotion for operators."""
+    """Publishes and promotes revisions on behalf of operators."""
 
     def __init__(
         self, book: RevisionBook, fleet: FleetView, make_token: TokenMaker
@@ -50,15 +50,15 @@
         if outcome.replaced_by is None and not isinstance(listed, Failure):
             await self._fleet.announce(listed, outcome.stored_text)
             outcome = replace(outcome, instances=listed)
-        # After the announcement, which an outage of the store must not delay.
-        # The next writer adds the entry if this write fails.
+        # Recorded after the announcement, which an outage of the store must not
+        # delay. The next writer adds the history entry if this write fails.
         await self._book.record_in_history(outcome.record)
         return outcome
 
     def draft(
         self, environment: str, text: str, digest: str, author: str, reason: str
     ) -> Draft:
-        """Return a draft with a token of its own."""
+        """Return a draft with a new write token."""
         return Draft(
             environment=environment,
             digest=digest,
@@ -79,7 +79,7 @@
         wanted_digest: str = "",
         override_reason: str = "",
     ) -> Accepted | RaceLost | PromotionVerdict | Failure:
-        """Put trial's document in force in production if the rules allow it."""
+        """Publish the trial document in production if the policy allows it."""
         production = await self._book.in_force(production_name)
         if isinstance(production, Failure):
             return production
--- a/chestnuthall/services/_revisions.py
+++ b/chestnuthall/services/_revisions.py
@@ -33,10 +33,10 @@
 ENVIRONMENT_KIND = "environments"
 HISTORY_KIND = "environment-history"
 STORE_TIMEOUT_MS = 2_000.0
-# Time for which a write whose answer was lost is read back and tried again.
-SETTLE_TIMEOUT_MS = 20_000.0
+# Time for which a write whose answer was lost is read back and retried.
+RESOLVE_TIMEOUT_MS = 20_000.0
 RETRY_DELAY_MS = 250.0
-N_HISTORY_TRIES_MAX = 8
+N_HISTORY_ATTEMPTS_MAX = 8
 
 DocumentReader = Callable[[str], EnvironmentDocument | Failure]
 
@@ -45,7 +45,7 @@
 class Accepted:
     """The write took effect; ``replaced_by`` is a later revision, if any.
 
-    ``instances`` are those that it was announced to.
+    ``instances`` are the instances that it was announced to.
     """
 
     record: RevisionRecord
@@ -58,7 +58,7 @@
 class RaceLost:
     """Another operator's write came first.
 
-    ``differences`` are those from the winner's document to one's own.
+    ``differences`` are those from the winner's document to the rejected one.
     """
 
     winner: RevisionRecord
@@ -66,7 +66,7 @@
 
 
 class RevisionBook:
-    """Accepts drafts by conditional update, and keeps the history."""
+    """Writes drafts as revisions by conditional update, and keeps the history."""
 
     def __init__(
         self,
@@ -81,7 +81,7 @@
         self._read_document = read_document
 
     async def in_force(self, environment: str) -> InForce | Failure | None:
-        """Return what the store has in force; None if there is no document."""
+        """Return the stored revision in force; None if there is no document."""
         stored = await self._store.get(ENVIRONMENT_KIND, environment, STORE_TIMEOUT_MS)
         if isinstance(stored, Failure):
             return None if stored.kind is OBJECT_NOT_FOUND else stored
@@ -93,7 +93,7 @@
     async def history(self, environment: str) -> History | Failure:
         """Return the history, with the revision in force added to it.
 
-        A writer may end between its write and its entry in the history.
+        Its writer may have ended before adding it to the stored history.
         """
         in_force = await self.in_force(environment)
         if isinstance(in_force, Failure):
@@ -112,9 +112,9 @@
         return history if isinstance(history, Failure) else (history, stored.version)
 
     async def record_in_history(self, record: RevisionRecord) -> History | Failure:
-        """Add a record to the history; adding it twice changes nothing."""
+        """Add a record to the history; idempotent."""
         failure = STORE_WRITE_UNKNOWN.because("the history changed too often")
-        for _ in range(N_HISTORY_TRIES_MAX):
+        for _ in range(N_HISTORY_ATTEMPTS_MAX):
             read = await self._read_history(record.environment)
             if isinstance(read, Failure):
                 return read
@@ -139,7 +139,7 @@
     async def accept(
         self, draft: Draft, base: InForce | None
     ) -> Accepted | RaceLost | Failure:
-        """Make a draft the next revision after ``base``, the one that was read.
+        """Write a draft as the next revision after ``base``, the one that was read.
 
         The replaced revision is recorded in the history before the write.
         Therefore the history has no gap, even if this process ends at once
@@ -156,15 +156,15 @@
             history.last_revision, 0 if base is None else base.record.revision
         )
         record = next_record(draft, last_revision, self._clock.wall_ms())
-        return await self._write_and_settle(record, base)
+        return await self._write_and_resolve(record, base)
 
-    async def _write_and_settle(
+    async def _write_and_resolve(
         self, record: RevisionRecord, base: InForce | None
     ) -> Accepted | RaceLost | Failure:
         text = self._codec.encode_record(record)
         version = 0 if base is None else base.version
-        ends_at_ms = self._clock.now_ms() + SETTLE_TIMEOUT_MS
-        is_unsettled = False
+        ends_at_ms = self._clock.now_ms() + RESOLVE_TIMEOUT_MS
+        is_unresolved = False
         while True:
             written = await self._write(
                 ENVIRONMENT_KIND, record.environment, text, version
@@ -172,22 +172,22 @@
             if isinstance(written, StoredObject):
                 return Accepted(record, text)
             if written.kind is STORE_WRITE_UNKNOWN:
-                is_unsettled = True
-            elif written.kind is not OBJECT_CONFLICT and not is_unsettled:
+                is_unresolved = True
+            elif written.kind is not OBJECT_CONFLICT and not is_unresolved:
                 return written
-            outcome = await self._settle(record, text, base, ends_at_ms)
+            outcome = await self._resolve(record, text, base, ends_at_ms)
             if outcome is not None:
                 return outcome
             await self._clock.sleep_ms(RETRY_DELAY_MS)
 
-    async def _settle(
+    async def _resolve(
         self,
         record: RevisionRecord,
         text: str,
         base: InForce | None,
         ends_at_ms: float,
     ) -> Accepted | RaceLost | Failure | None:
-        """Read back until the outcome is known; None means to write again."""
+        """Read back until the outcome is known; None means to retry the write."""
         while True:
             reading = await self._read_back(record, base)
             if not isinstance(reading, Failure):
@@ -196,15 +196,17 @@
                 reason = f"the write may have taken effect: {reading.reason}"
                 return STORE_WRITE_UNKNOWN.because(reason)
             await self._clock.sleep_ms(RETRY_DELAY_MS)
-        settlement, found = reading
-        if settlement is Settlement.ACCEPTED:
+        outcome, found = reading
+        if outcome is Settlement.ACCEPTED:
             return Accepted(record, text)
-        if settlement is Settlement.ACCEPTED_AND_REPLACED:
+        if outcome is Settlement.ACCEPTED_AND_REPLACED:
             return Accepted(record, text, None if found is None else found.record)
-        if settlement is Settlement.LOST:
-            return self._lost(record, found)
+        if outcome is Settlement.LOST:
+            return self._conflict_result(record, found)
         if self._clock.now_ms() >= ends_at_ms:
-            return STORE_WRITE_UNKNOWN.because("the store did not take the write")
+            return STORE_WRITE_UNKNOWN.because(
+                "the store did not accept the write in time"
+            )
         return None
 
     async def _read_back(
@@ -216,10 +218,10 @@
         read = await self._read_history(record.environment)
         if isinstance(read, Failure):
             return read
-        settlement = decide_settlement(record.write_token, base, found, read[0])
-        return settlement, found
+        outcome = decide_settlement(record.write_token, base, found, read[0])
+        return outcome, found
 
-    def _lost(
+    def _conflict_result(
         self, record: RevisionRecord, found: InForce | None
     ) -> RaceLost | Failure:
         if found is None:
@@ -227,7 +229,7 @@
         return self.race_lost(found.record, record.text)
 
     def race_lost(self, winner: RevisionRecord, own_text: str) -> RaceLost | Failure:
-        """Return what a race was lost to, and how the two documents differ."""
+        """Return the winning revision and how the two documents differ."""
         theirs = self._read_document(winner.text)
         own = self._read_document(own_text)
         if isinstance(theirs, Failure):
--- a/chestnuthall/services/_service_directory.py
+++ b/chestnuthall/services/_service_directory.py
@@ -41,20 +41,21 @@
 _log = logging.getLogger(__name__)
 
 REGISTRATION_KIND = "registrations"
-# Many times the usual answer, and short beside the time in which a store that has
-# returned counts as stable.
+# Many times the usual response time, and short compared with the time after which
+# a recovered store counts as stable.
 STORE_TIMEOUT_MS = 1_000.0
-# A map with a draining replica of last resort changes with time alone.
+# Lifetime of a cached map: one with a draining replica as the last resort becomes
+# stale with time, without a new registration.
 MAP_LIFETIME_MS = 250.0
-# Groups of earlier revisions that queries may still hold.
+# Limit on the groups, including those of earlier revisions that queries still use.
 N_GROUPS_KEPT = 512
-N_BAD_ENTRIES_KEPT = 256
+N_INVALID_ENTRIES_KEPT = 256
 
 RegistrationReader = Callable[[StoredObject], Registration | Failure]
 
 
 class ReplicaConnections(Protocol):
-    """Connections that follow the replicas as they come and go."""
+    """Connections that are opened and closed as replicas register and leave."""
 
     def prepare(self, replica: Replica, shard_id: str) -> None:
         """Open connections to a replica ahead of the first call."""
@@ -92,13 +93,13 @@
         self._groups: dict[str, UpstreamGroup] = {}
         self._maps: dict[str, tuple[int, float, PartitionMap]] = {}
         self._follower = StoreFollower(watch_timeout_ms)
-        self._bad_entries: dict[str, str] = {}
+        self._invalid_entry_reasons: dict[str, str] = {}
         self._expiry: asyncio.TimerHandle | None = None
         self._is_loaded = False
 
     @property
     def is_ready(self) -> bool:
-        """Whether the registrations were read once."""
+        """Whether the registrations have been read."""
         return self._is_loaded
 
     @property
@@ -111,7 +112,7 @@
         return self._register.registrations()
 
     def add_group(self, group: UpstreamGroup) -> None:
-        """Define the services of a group, and keep those of earlier ones."""
+        """Define the services of a group; groups of earlier revisions are kept."""
         self._groups.pop(group.name, None)
         self._groups[group.name] = group
         self._maps.pop(group.name, None)
@@ -133,9 +134,9 @@
             return None
         now_ms = self._clock.now_ms()
         version = self._register.version
-        kept = self._maps.get(group_name)
-        if kept and kept[0] == version and now_ms - kept[1] < MAP_LIFETIME_MS:
-            return kept[2]
+        cached = self._maps.get(group_name)
+        if cached and cached[0] == version and now_ms - cached[1] < MAP_LIFETIME_MS:
+            return cached[2]
         shards = tuple(
             Shard(
                 service,
@@ -152,7 +153,7 @@
     async def pin_another(
         self, group_name: str, gone: tuple[int, ...]
     ) -> PartitionMap | None:
-        """Return None; these upstreams have no snapshots that go away."""
+        """Return None; these upstreams have no snapshots to become unavailable."""
         return None
 
     async def run(self) -> None:
@@ -177,7 +178,7 @@
         found = [item for item in map(self._read_entry, listed) if item is not None]
         self._apply(self._register.replace_all(found, now_ms))
         if not listed:
-            # An empty listing names no version from which to watch.
+            # An empty listing has no version from which to watch.
             return StoreFailed(now_ms)
         self._is_loaded = True
         return Loaded(now_ms, max(item.seen_version or item.version for item in listed))
@@ -196,7 +197,7 @@
                 return WatchTrimmed(now_ms)
             return StoreFailed(now_ms)
         for stored in batch.changed:
-            self._take_changed(stored, now_ms)
+            self._apply_changed(stored, now_ms)
         for name in batch.deleted_names:
             self._apply(self._register.remove(name, now_ms))
         n_changes = len(batch.changed) + len(batch.deleted_names)
@@ -208,7 +209,7 @@
         now_ms = self._clock.now_ms()
         return PauseEnded(now_ms, is_watcher=True, confirmed_ms=now_ms)
 
-    def _take_changed(self, stored: StoredObject, now_ms: float) -> None:
+    def _apply_changed(self, stored: StoredObject, now_ms: float) -> None:
         registration = self._read_entry(stored)
         if registration is None:
             self._apply(self._register.drop(stored.name))
@@ -216,14 +217,14 @@
             self._apply(self._register.put(registration, now_ms))
 
     def _read_entry(self, stored: StoredObject) -> Registration | None:
-        """Return a registration, or None for one that names no usable replica."""
+        """Return a registration, or None if it defines no usable replica."""
         registration = self._read(stored)
         if not isinstance(registration, Failure):
             return registration
-        if self._bad_entries.get(stored.name) != registration.reason:
-            while len(self._bad_entries) >= N_BAD_ENTRIES_KEPT:
-                del self._bad_entries[next(iter(self._bad_entries))]
-            self._bad_entries[stored.name] = registration.reason
+        if self._invalid_entry_reasons.get(stored.name) != registration.reason:
+            while len(self._invalid_entry_reasons) >= N_INVALID_ENTRIES_KEPT:
+                del self._invalid_entry_reasons[next(iter(self._invalid_entry_reasons))]
+            self._invalid_entry_reasons[stored.name] = registration.reason
             _log.warning(
                 "registration ignored",
                 extra={"replica": stored.name, "reason": registration.reason},
@@ -243,7 +244,7 @@
             self._connections.forget(change.old.replica.address)
         if change.kind is ChangeKind.GONE:
             self._router.forget(replica.name)
-            self._forget_connections(replica.address)
+            self._close_connections(replica.address)
         if change.kind in (ChangeKind.SEEN, ChangeKind.RESTARTED):
             self._connections.prepare(replica, change.new.service)
             if change.new.warm_up_left_ms > 0.0:
@@ -260,7 +261,7 @@
             },
         )
 
-    def _forget_connections(self, address: str) -> None:
+    def _close_connections(self, address: str) -> None:
         """Close the connections to an address that no other replica has."""
         in_use = any(
             item.replica.address == address for item in self._register.registrations()
--- a/chestnuthall/services/_shared_store.py
+++ b/chestnuthall/services/_shared_store.py
@@ -18,24 +18,24 @@
 
 _log = logging.getLogger(__name__)
 
-# One wait at a leader. A leader that is gone without a sign is noticed after it.
-PEER_WAIT_MS = 1_000.0
-# First watch of an instance that becomes a leader.
-FIRST_WATCH_MS = 50.0
-# Time for all objects of a kind from a peer, for an instance that starts while the
-# store is away.
+# Time-out of one watch at a leader, after which an unresponsive leader is detected.
+LEADER_WATCH_TIMEOUT_MS = 1_000.0
+# Time-out of the first watch of an instance that becomes a leader.
+FIRST_WATCH_TIMEOUT_MS = 50.0
+# Time for reading all objects of a kind from a peer, by an instance that starts while
+# the store is unavailable.
 SNAPSHOT_TIMEOUT_MS = 300.0
-# Peers in the own zone that are asked then, beside the seeds.
-N_PEERS_ASKED = 2
+# Peers in the own zone that are queried for this, in addition to the seeds.
+N_PEERS_QUERIED = 2
 
 
 class SharedObjectStore:
-    """Follows a leader in the own zone in place of the store, for some kinds.
+    """Watches a leader in the own zone instead of the store, for some kinds.
 
-    Reads and writes go to the store. Watches go to the leader while it has news of
-    the store, and to the store otherwise. What was read is kept in feeds, from which
-    peers follow this instance. An instance that has never reached the store takes
-    what its peers know.
+    Reads and writes go to the store. Watches go to the leader while its feed is
+    recent, and to the store otherwise. Objects that were read are kept in feeds, from
+    which peers follow this instance. An instance that has never reached the store
+    reads the feeds of its peers.
     """
 
     def __init__(
@@ -53,19 +53,19 @@
         self._clock = clock
         self._peer_feeds = feeds
         self._timing = timing
-        self._choice = choice
+        self._leader_selector = choice
         self._near_peers = near_peers
         self._seed_addresses = seed_addresses
         self._feeds = {kind: ObjectFeed(clock, timing.age_max_ms) for kind in kinds}
-        # Feeds that this instance fills from the store itself.
-        self._own: set[str] = set()
+        # Kinds whose feeds this instance reads from the store itself.
+        self._kinds_from_store: set[str] = set()
 
     def feed(self, kind: str) -> ObjectFeed | None:
-        """Return the feed of a kind that is shared, if it comes from the store."""
-        return self._feeds[kind] if kind in self._own else None
+        """Return the feed of a shared kind, if it is read from the store."""
+        return self._feeds[kind] if kind in self._kinds_from_store else None
 
     def known(self, kind: str) -> ObjectFeed | None:
-        """Return the feed of a kind that is shared, wherever it comes from."""
+        """Return the feed of a shared kind, whatever its source."""
         return self._feeds.get(kind)
 
     async def get(
@@ -81,7 +81,7 @@
             feed.confirm()
             return stored
         if stored.kind is STORE_UNAVAILABLE:
-            for item in await self._ask_peers(kind, feed):
+            for item in await self._query_peers(kind, feed):
                 if item.name == name:
                     return item
         return stored
@@ -100,14 +100,16 @@
                 feed.confirm()
             return listed
         if listed.kind is STORE_UNAVAILABLE:
-            return await self._ask_peers(kind, feed) or listed
+            return await self._query_peers(kind, feed) or listed
         return listed
 
-    async def _ask_peers(self, kind: str, feed: ObjectFeed) -> tuple[StoredObject, ...]:
-        """Return the objects of a peer that knows more, or nothing.
+    async def _query_peers(
+        self, kind: str, feed: ObjectFeed
+    ) -> tuple[StoredObject, ...]:
+        """Return the objects of a peer whose feed is better, or nothing.
 
-        An instance that the store does not serve follows the others so, and one
-        that starts meanwhile learns what they know.
+        Keeps an instance up to date that the store does not serve, and initialises
+        one that starts during an outage of the store.
         """
         for address in self._peer_addresses():
             answer = await self._peer_feeds.snapshot(address, kind, SNAPSHOT_TIMEOUT_MS)
@@ -130,7 +132,7 @@
         return ()
 
     def _is_better(self, answer: FeedAnswer, feed: ObjectFeed) -> bool:
-        """Return whether a peer knows more, or knows from the store that it is all."""
+        """Return whether an answer is newer, or as new and recently confirmed."""
         batch = answer.batch
         if not batch.changed or batch.version < feed.version:
             return False
@@ -138,9 +140,9 @@
         return batch.version > feed.version or is_fresh
 
     def _peer_addresses(self) -> list[str]:
-        """Return a few peers to ask: those in the zone first, and the seeds."""
-        near = [item.address for item in self._near_peers()]
-        return [*near[:N_PEERS_ASKED], *self._seed_addresses]
+        """Return the addresses to query: peers in the zone first, then the seeds."""
+        same_zone = [item.address for item in self._near_peers()]
+        return [*same_zone[:N_PEERS_QUERIED], *self._seed_addresses]
 
     async def create(
         self, kind: str, name: str, value: str, timeout_ms: float
@@ -166,8 +168,8 @@
         """Wait for changes of a kind after a version; an empty batch on timeout."""
         if kind not in self._feeds:
             return await self._store.watch(kind, after_version, timeout_ms)
-        ends_ms = self._clock.now_ms() + timeout_ms
-        while (left_ms := ends_ms - self._clock.now_ms()) > 0.0:
+        ends_at_ms = self._clock.now_ms() + timeout_ms
+        while (left_ms := ends_at_ms - self._clock.now_ms()) > 0.0:
             leader = self._leader()
             if leader is None:
                 batch = await self._watch_store(kind, after_version, left_ms)
@@ -180,28 +182,29 @@
 
     def _leader(self) -> InstanceEntry | None:
         peers = {item.name: item for item in self._near_peers()}
-        name = self._choice.leader(peers, self._clock.now_ms())
+        name = self._leader_selector.leader(peers, self._clock.now_ms())
         return None if name is None else peers[name]
 
     async def _watch_store(
         self, kind: str, after_version: int, left_ms: float
     ) -> WatchBatch | Failure:
-        """Watch the store, in a zone with leaders for a short time.
+        """Watch the store; in a zone with leaders with a short time-out.
 
-        A leader's news must not grow old, and an instance whose leaders have none may
-        begin its watch in an outage of the store, of whose end it would not hear.
+        The feed of a leader must stay recent. An instance whose leaders have no recent
+        feed may start its watch during an outage of the store, and such a watch does
+        not notice that the outage has ended.
         """
         feed = self._feeds[kind]
-        if self._choice.is_shared:
+        if self._leader_selector.is_shared:
             left_ms = self._timing.watch_timeout_ms
-            if kind not in self._own:
-                # Its followers need to know soon that it has news.
-                left_ms = FIRST_WATCH_MS
-        self._own.add(kind)
+            if kind not in self._kinds_from_store:
+                # Its followers need to learn soon that its feed is recent.
+                left_ms = FIRST_WATCH_TIMEOUT_MS
+        self._kinds_from_store.add(kind)
         batch = await self._store.watch(kind, after_version, left_ms)
         if isinstance(batch, Failure):
-            self._own.discard(kind)
-            self._choice.avoid_store(self._clock.now_ms())
+            self._kinds_from_store.discard(kind)
+            self._leader_selector.avoid_store(self._clock.now_ms())
             return batch
         feed.apply(batch)
         feed.confirm()
@@ -214,23 +217,23 @@
         after_version: int,
         left_ms: float,
     ) -> WatchBatch:
-        """Wait at a leader; nothing if it has failed and another one is to be asked."""
-        self._own.discard(kind)
+        """Watch a leader; an empty batch if it failed and another must be tried."""
+        self._kinds_from_store.discard(kind)
         answer = await self._peer_feeds.watch(
-            leader.address, kind, after_version, min(left_ms, PEER_WAIT_MS)
+            leader.address, kind, after_version, min(left_ms, LEADER_WATCH_TIMEOUT_MS)
         )
         if not isinstance(answer, Failure):
             feed = self._feeds[kind]
             feed.apply(answer.batch)
             feed.confirm(answer.age_ms)
             return answer.batch
-        # A leader that has just started keeps no changes before its start; another one
-        # or the store does.
-        has_answered = answer.kind is NOT_READY
-        self._choice.avoid(leader.name, self._clock.now_ms(), has_answered)
+        # A leader that has just started has no changes from before its start; another
+        # leader or the store has them.
+        is_responsive = answer.kind is NOT_READY
+        self._leader_selector.avoid(leader.name, self._clock.now_ms(), is_responsive)
         _log.info(
             "leader passed over",
             extra={"kind": kind, "leader": leader.name, "reason": answer.reason},
         )
-        await self._clock.sleep_ms(self._choice.stagger_ms)
+        await self._clock.sleep_ms(self._leader_selector.stagger_ms)
         return WatchBatch(after_version, ())
--- a/chestnuthall/services/_status.py
+++ b/chestnuthall/services/_status.py
@@ -19,27 +19,28 @@
 STATUS_KIND = "status"
 STORE_TIMEOUT_MS = 2_000.0
 INTERVAL_MIN_MS = 5_000.0
-# The store takes several hundred writes a second, most of them for claims.
+# The store accepts several hundred writes a second, most of them for claims.
 # All instances together use 30 of them: at 1,900 instances each one writes
-# every 63 s. A new revision causes no write of its own, or 1,900 instances
+# every 63 s. A new revision triggers no write, as otherwise 1,900 instances
 # would write at once 1,800 times a day.
 N_FLEET_WRITES_PER_S = 30.0
-# An unchanged status is written this seldom, to show that it is current.
+# An unchanged status is written after this many intervals, to show that it is
+# current.
 N_INTERVALS_UNCHANGED_MAX = 5
 
 StatusEncoder = Callable[[Mapping[str, object]], str]
 
 
 class StatusPart(Protocol):
-    """A service that has something to show in the status object."""
+    """A service that provides a section of the status object."""
 
     @property
     def status_name(self) -> str:
-        """Name of the field under which the status is shown."""
+        """Name of the section's field in the status object."""
         ...
 
     def read_status(self) -> object:
-        """Return plain values: mappings, sequences, texts and numbers."""
+        """Return plain values: mappings, sequences, strings and numbers."""
         ...
 
 
@@ -60,14 +61,14 @@
         self._clock = clock
         self._encode = encode
         self._random = random
-        self._parts = list(parts)
+        self._sections = list(parts)
         self._version: int | None = None
         self._written_text = ""
         self._n_skipped = 0
 
-    def add_part(self, part: StatusPart) -> None:
-        """Show the status of one more service."""
-        self._parts.append(part)
+    def add_part(self, section: StatusPart) -> None:
+        """Add the section of a service to the status."""
+        self._sections.append(section)
 
     def interval_ms(self) -> float:
         """Return the time between two writes of this instance."""
@@ -75,21 +76,21 @@
         return max(INTERVAL_MIN_MS, n_instances / N_FLEET_WRITES_PER_S * 1000.0)
 
     def read(self) -> dict[str, object]:
-        """Return the status without what changes at every reading."""
+        """Return the status, without values that change at every read."""
         identity = self._membership.identity
         status: dict[str, object] = {
             "instance": identity.name,
             "zone": identity.zone,
             "incarnation": self._membership.incarnation,
         }
-        for part in self._parts:
-            status[part.status_name] = part.read_status()
+        for section in self._sections:
+            status[section.status_name] = section.read_status()
         return status
 
     async def run(self) -> None:
         """Write the status until cancelled."""
         while True:
-            # A random first delay spreads instances that started together.
+            # A random delay spreads the writes of instances that started together.
             jitter = self._random.uniform(0.5, 1.0)
             await self._clock.sleep_ms(self.interval_ms() * jitter)
             await self._write_if_due()
@@ -101,7 +102,7 @@
             await self.write()
 
     async def write(self) -> None:
-        """Write the status now; a failure is made good by the next write."""
+        """Write the status now; after a failure the next write tries again."""
         text = self._encode(self.read())
         if self._version is None:
             written = await self._write_first(text)
@@ -134,7 +135,7 @@
 
 
 class ConfigurationStatus:
-    """The revision in force, and since when."""
+    """The revision in force, and when it came into force."""
 
     status_name = "configuration"
 
@@ -143,9 +144,9 @@
         self._revision = configuration.revision
         self._digest = ""
         self._since_wall_ms = 0.0
-        configuration.on_change(self._note)
+        configuration.on_change(self._update)
 
-    def _note(self, configuration: Configuration) -> None:
+    def _update(self, configuration: Configuration) -> None:
         self._revision = configuration.revision
         self._digest = configuration.digest
         self._since_wall_ms = self._clock.wall_ms()
@@ -160,7 +161,7 @@
 
 
 class FleetStatus:
-    """Whether the instance leaves, and what it sees of the fleet."""
+    """Whether the instance is leaving, and its counts of the fleet's instances."""
 
     status_name = "fleet"
 
@@ -190,7 +191,7 @@
         self._quarantines = quarantines
 
     def read_status(self) -> object:
-        """Return replica names with their signals, and fingerprints."""
+        """Return drained replicas with their signals, and fingerprints."""
         return {
             "drains": {
                 notice.replica_name: notice.signal.value
--- a/chestnuthall/services/_store_calls.py
+++ b/chestnuthall/services/_store_calls.py
@@ -21,17 +21,17 @@
         self._recent: deque[tuple[float, str]] = deque()
 
     def calls_in_last_minute(self) -> dict[str, int]:
-        """Return the calls of the last minute, by operation and kind."""
-        self._forget_old()
+        """Return the number of calls in the last minute by operation and kind."""
+        self._drop_old()
         return dict(Counter(name for _, name in self._recent))
 
-    def _forget_old(self) -> None:
+    def _drop_old(self) -> None:
         oldest_ms = self._clock.now_ms() - WINDOW_MS
         while self._recent and self._recent[0][0] <= oldest_ms:
             self._recent.popleft()
 
     def _count(self, operation: str, kind: str) -> None:
-        self._forget_old()
+        self._drop_old()
         self._recent.append((self._clock.now_ms(), f"{operation} {kind}"))
         self._metrics.count(f"store_calls.{operation}.{kind}")
 
