--- a/chestnuthall/services/_claims.py
+++ b/chestnuthall/services/_claims.py
@@ -113,7 +113,7 @@
         claim = KeyClaim(
             request.idempotency_key, token_hex(8), float(request.issued_at_ms)
         )
-        name = self._name_of(claim)
+        name = self._partition_name(claim)
         if self._is_overloaded(name):
             return RATE_LIMITED.because("too many claims are waiting for a write slot")
         waiter: asyncio.Future[Failure | None]
@@ -135,7 +135,7 @@
         stays claimed.
         """
         self._handle(
-            self._name_of(claim), AbandonRequested(self._clock.wall_ms(), claim)
+            self._partition_name(claim), AbandonRequested(self._clock.wall_ms(), claim)
         )
 
     async def close(self) -> None:
@@ -144,7 +144,7 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def _name_of(self, claim: KeyClaim) -> str:
+    def _partition_name(self, claim: KeyClaim) -> str:
         return partition_name_of(claim.idempotency_key, self._settings.n_partitions)
 
     async def _wait(
@@ -165,7 +165,9 @@
         return waiter.result()
 
     def _withdraw(self, claim: KeyClaim) -> None:
-        self._handle(self._name_of(claim), ClaimWithdrawn(self._clock.wall_ms(), claim))
+        self._handle(
+            self._partition_name(claim), ClaimWithdrawn(self._clock.wall_ms(), claim)
+        )
 
     def _withdraw_or_abandon(
         self, claim: KeyClaim, waiter: "asyncio.Future[Failure | None]"
--- a/chestnuthall/services/_configuration_peers.py
+++ b/chestnuthall/services/_configuration_peers.py
@@ -1,4 +1,4 @@
-"""Reads of the configurations that peers have in force."""
+"""Fetches the configurations that peers have in force."""
 
 import asyncio
 from collections.abc import Callable, Sequence
--- a/chestnuthall/services/_membership.py
+++ b/chestnuthall/services/_membership.py
@@ -49,7 +49,7 @@
 
 # Number of peers to which an instance sends urgent updates and notices. At 1,900
 # instances, five peers miss 0.7% of the fleet and three peers 5%; with three, some
-# instances are missed by the next round of probes too and are notified after 3 s.
+# instances are missed by the next round of probes too and notified later than 3 s.
 N_URGENT_PEERS = 5
 
 CountsListener = Callable[[FleetCounts], None]
@@ -173,7 +173,7 @@
         return digest
 
     async def receive(self, digest: PeerDigest) -> PeerDigest:
-        """Process the digest of a peer and return the own one."""
+        """Process the digest of a peer and return this instance's digest."""
         self._process_digest(digest)
         return self.digest(digest.sender)
 
--- a/chestnuthall/services/_presence.py
+++ b/chestnuthall/services/_presence.py
@@ -36,7 +36,7 @@
     """Writes the entry of this instance to the store once, and counts the entries.
 
     An entry stays when its instance ends, so the count is an upper bound on the
-    number of running instances, as the division of a fleet-wide limit needs it.
+    number of running instances, as required to divide a fleet-wide limit.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
         return 1 + len(self.near_peers)
 
     async def run(self) -> None:
-        """Write the own entry, then list all entries until cancelled."""
+        """Write this instance's entry, then list all entries until cancelled."""
         while (is_new := await self._create_entry()) is None:
             await self._clock.sleep_ms(RETRY_DELAY_MS)
         if is_new:
@@ -107,7 +107,7 @@
         return await self._correct_own_entry(listed)
 
     async def _correct_own_entry(self, listed: Sequence[StoredObject]) -> bool:
-        """Replace the own entry if an earlier start wrote other values."""
+        """Replace this instance's entry if an earlier start wrote other values."""
         value = self._write(self._own)
         for stored in listed:
             if stored.name == self._own.name and self._read(stored) != self._own:
--- a/chestnuthall/services/_service_directory.py
+++ b/chestnuthall/services/_service_directory.py
@@ -94,7 +94,7 @@
         self._maps: dict[str, tuple[int, float, PartitionMap]] = {}
         self._follower = StoreFollower(watch_timeout_ms)
         self._invalid_entry_reasons: dict[str, str] = {}
-        self._expiry: asyncio.TimerHandle | None = None
+        self._expiry_timer: asyncio.TimerHandle | None = None
         self._is_loaded = False
 
     @property
@@ -104,11 +104,11 @@
 
     @property
     def n_replicas(self) -> int:
-        """Number of replicas known."""
+        """Number of known replicas."""
         return len(self._register)
 
     def registrations(self) -> tuple[Registration, ...]:
-        """Return the registrations in force, as a peer may take them over."""
+        """Return the registrations in force, in the form that a peer can adopt."""
         return self._register.registrations()
 
     def add_group(self, group: UpstreamGroup) -> None:
@@ -234,7 +234,7 @@
     def _apply(self, changes: list[Change]) -> None:
         for change in changes:
             self._apply_change(change)
-        self._set_expiry()
+        self._schedule_expiry()
 
     def _apply_change(self, change: Change) -> None:
         replica = change.new.replica
@@ -269,16 +269,16 @@
         if not in_use:
             self._connections.forget(address)
 
-    def _set_expiry(self) -> None:
-        if self._expiry is not None:
-            self._expiry.cancel()
-            self._expiry = None
+    def _schedule_expiry(self) -> None:
+        if self._expiry_timer is not None:
+            self._expiry_timer.cancel()
+            self._expiry_timer = None
         due_ms = self._register.next_expiry_ms()
         if due_ms is None:
             return
         delay_ms = max(1.0, due_ms - self._clock.now_ms())
         loop = asyncio.get_running_loop()
-        self._expiry = loop.call_later(delay_ms / 1000.0, self._expire)
+        self._expiry_timer = loop.call_later(delay_ms / 1000.0, self._expire)
 
     def _expire(self) -> None:
         self._apply(self._register.expire(self._clock.now_ms()))
--- a/chestnuthall/services/_shared_store.py
+++ b/chestnuthall/services/_shared_store.py
@@ -25,12 +25,12 @@
 # Time for reading all objects of a kind from a peer, by an instance that starts while
 # the store is unavailable.
 SNAPSHOT_TIMEOUT_MS = 300.0
-# Peers in the own zone that are queried for this, in addition to the seeds.
+# Peers in the same zone that are queried for this, in addition to the seeds.
 N_PEERS_QUERIED = 2
 
 
 class SharedObjectStore:
-    """Watches a leader in the own zone instead of the store, for some kinds.
+    """Watches a leader in the same zone instead of the store, for some kinds.
 
     Reads and writes go to the store. Watches go to the leader while its feed is
     recent, and to the store otherwise. Objects that were read are kept in feeds, from
--- a/chestnuthall/services/_status.py
+++ b/chestnuthall/services/_status.py
@@ -64,7 +64,7 @@
         self._sections = list(parts)
         self._version: int | None = None
         self._written_text = ""
-        self._n_skipped = 0
+        self._n_intervals_since_write = 0
 
     def add_part(self, section: StatusPart) -> None:
         """Add the section of a service to the status."""
@@ -97,8 +97,11 @@
 
     async def _write_if_due(self) -> None:
         text = self._encode(self.read())
-        self._n_skipped += 1
-        if text != self._written_text or self._n_skipped >= N_INTERVALS_UNCHANGED_MAX:
+        self._n_intervals_since_write += 1
+        if (
+            text != self._written_text
+            or self._n_intervals_since_write >= N_INTERVALS_UNCHANGED_MAX
+        ):
             await self.write()
 
     async def write(self) -> None:
@@ -117,7 +120,7 @@
             return
         self._version = written.version
         self._written_text = text
-        self._n_skipped = 0
+        self._n_intervals_since_write = 0
 
     @property
     def _name(self) -> str:
--- a/chestnuthall/services/tests/test_presence.py
+++ b/chestnuthall/services/tests/test_presence.py
@@ -62,7 +62,7 @@
 
 
 CONFLICT = OBJECT_CONFLICT.because("exists")
-UNAVAILABLE = STORE_UNAVAILABLE.because("down")
+UNAVAILABLE = STORE_UNAVAILABLE.because("unavailable")
 OTHERS = {"near": "10.0.0.2:1,a", "far": "10.0.0.3:1,b"}
 
 # (case, results of creating the entry, stored entries, seconds, reported counts)
--- a/chestnuthall/services/tests/test_shared_store.py
+++ b/chestnuthall/services/tests/test_shared_store.py
@@ -310,7 +310,7 @@
 
 
 def test_new_leader_confirms_its_feed_soon_and_watches_often():
-    """Its followers turned to the store while its first watch waited."""
+    """Followers turned to the store while the first watch of a new leader waited."""
 
     async def scenario():
         fleet = Fleet()
@@ -326,7 +326,7 @@
 
 
 def test_restart_of_the_leader_makes_no_follower_list_the_store():
-    """Its feed begins at its start, for which each follower listed the store again."""
+    """Followers listed the store because a restarted leader has no older changes."""
 
     async def scenario():
         fleet = Fleet()
