--- a/chestnuthall/adapters/http/_client.py
+++ b/chestnuthall/adapters/http/_client.py
@@ -1,4 +1,4 @@
-"""One client connection, with one request at a time."""
+"""HTTP/1.1 client connection that carries one request at a time."""
 
 import asyncio
 import socket
@@ -18,21 +18,21 @@
     Failure,
 )
 
-# A server counts its idle timeout from its last byte, which was sent earlier
-# than it was read here.
+# Subtracted from the idle timeout that the server announces: the server starts it
+# when it sends its last byte, before that byte is received here.
 KEEP_ALIVE_MARGIN_S = 0.5
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class KeepAliveProbes:
-    """Probes of the operating system that find a silent peer."""
+    """Settings of the TCP keepalive probes that detect an unresponsive peer."""
 
     idle_s: int
     interval_s: int
     n_probes: int
 
     def apply(self, connection: socket.socket) -> None:
-        """Switch the probes on; unacknowledged data counts as silence too."""
+        """Enable the probes, and the same total timeout for unacknowledged data."""
         tcp = socket.IPPROTO_TCP
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
         connection.setsockopt(tcp, socket.TCP_KEEPIDLE, self.idle_s)
@@ -43,30 +43,30 @@
 
 
 def keep_alive_timeout_s(value: bytes | None) -> float | None:
-    """Return the timeout that a ``Keep-Alive`` header states, or None.
+    """Return the timeout in seconds of a ``Keep-Alive`` header, or None.
 
     Examples
     --------
     >>> keep_alive_timeout_s(b"timeout=5, max=100"), keep_alive_timeout_s(b"max=2")
     (5.0, None)
     """
-    for part in (value or b"").split(b","):
-        name, _, number = part.strip().partition(b"=")
+    for parameter in (value or b"").split(b","):
+        name, _, number = parameter.strip().partition(b"=")
         if name.lower() == b"timeout" and number.strip().isdigit():
             return float(number)
     return None
 
 
-ResponseListener = Callable[[HttpResponse | Failure], None]
+ResponseCallback = Callable[[HttpResponse | Failure], None]
 
 
 class ClientConnection(asyncio.Protocol):
-    """An HTTP/1.1 connection that keeps alive between requests."""
+    """A persistent HTTP/1.1 connection for successive requests."""
 
     def __init__(self) -> None:
         self._parser: ResponseParser | None = None
         self._transport: asyncio.Transport | None = None
-        self._response: ResponseListener | None = None
+        self._on_response: ResponseCallback | None = None
         self._host = b""
         self._on_free: Callable[[], None] | None = None
         self._usable_until_s = float("inf")
@@ -74,7 +74,7 @@
         self.idle_since_s = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Note the transport; called by the event loop."""
+        """Store the transport; called by the event loop."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         peer = transport.get_extra_info("peername")
@@ -82,14 +82,14 @@
         self.is_open = True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail the running request; called by the event loop."""
+        """Fail the pending request; called by the event loop."""
         self.is_open = False
-        self._resolve(CONNECTION_LOST.because("the connection was closed"))
+        self._complete_request(CONNECTION_LOST.because("the connection was closed"))
 
     def eof_received(self) -> bool:
-        """Finish a response that ends with its stream; called by the event loop."""
+        """Complete a response delimited by EOF; called by the event loop."""
         if self._parser is not None:
-            response = self._parser.end()
+            response = self._parser.feed_eof()
             if response is not None:
                 self._finish_response(response)
         return False
@@ -97,29 +97,31 @@
     def data_received(self, data: bytes) -> None:
         """Feed bytes to the parser; called by the event loop."""
         if self._parser is None:
-            # Bytes that no request asked for, such as a response sent twice,
-            # would be taken for the answer to the next request.
+            # Unsolicited bytes, such as a duplicate response, would be read as
+            # the response to the next request.
             self.close()
             return
         try:
             response = self._parser.feed(data)
         except ResponseError as error:
             self.close()
-            self._resolve(CONNECTION_LOST.because(f"invalid response: {error}"))
+            self._complete_request(
+                CONNECTION_LOST.because(f"invalid response: {error}")
+            )
             return
         if response is not None:
             self._finish_response(response)
 
     def _finish_response(self, response: HttpResponse) -> None:
         assert self._parser is not None
-        self._note_keep_alive(response.headers.get(b"keep-alive"))
+        self._update_keep_alive(response.headers.get(b"keep-alive"))
         if not self._parser.is_reusable:
             self.close()
         self._parser = None
-        self._resolve(response)
+        self._complete_request(response)
 
-    def _note_keep_alive(self, value: bytes | None) -> None:
-        """Note until when the connection may be used again."""
+    def _update_keep_alive(self, value: bytes | None) -> None:
+        """Update the time until which the connection may be reused."""
         timeout_s = keep_alive_timeout_s(value)
         if timeout_s is None:
             self._usable_until_s = float("inf")
@@ -128,37 +130,37 @@
         now_s = asyncio.get_running_loop().time()
         self._usable_until_s = now_s + timeout_s - margin_s
 
-    def _resolve(self, result: HttpResponse | Failure) -> None:
-        response, self._response = self._response, None
-        if response is not None:
-            response(result)
+    def _complete_request(self, result: HttpResponse | Failure) -> None:
+        on_response, self._on_response = self._on_response, None
+        if on_response is not None:
+            on_response(result)
         on_free, self._on_free = self._on_free, None
         if on_free is not None:
             on_free()
 
-    def when_free(self, callback: Callable[[], None]) -> None:
-        """Call back once the running request has ended, or the connection has.
+    def call_when_free(self, callback: Callable[[], None]) -> None:
+        """Call back once the pending request has completed or the connection is lost.
 
-        Used for a request whose caller no longer waits: its late response has
-        to be read before the connection can serve another request.
+        Used after a request was cancelled: its late response has to be read
+        before the connection can carry another request.
         """
-        if self._response is None:
+        if self._on_response is None:
             callback()
         else:
             self._on_free = callback
 
     @property
     def is_idle(self) -> bool:
-        """Whether a request can be sent now."""
+        """Whether the connection is open and free for a request."""
         return (
             self.is_open
-            and self._response is None
+            and self._on_response is None
             and asyncio.get_running_loop().time() < self._usable_until_s
             and self._transport is not None
             and not self._transport.is_closing()
         )
 
-    def start(self, request: HttpRequest) -> "asyncio.Future[HttpResponse | Failure]":
+    def send(self, request: HttpRequest) -> "asyncio.Future[HttpResponse | Failure]":
         """Write a request and return the future of its response.
 
         Cancelling the future leaves the connection busy until the response
@@ -172,27 +174,29 @@
             if not future.done():
                 future.set_result(result)
 
-        self.begin(request, set_result)
+        self.send_with_callback(request, set_result)
         return future
 
-    def begin(self, request: HttpRequest, listener: "ResponseListener") -> None:
-        """Write a request and call back with its response, or why there is none.
+    def send_with_callback(
+        self, request: HttpRequest, on_response: "ResponseCallback"
+    ) -> None:
+        """Write a request and call back with its response or a failure.
 
-        The callback comes within the read, which saves a turn of the event loop
-        for each response of a search over many shards.
+        The callback runs inside ``data_received``, which saves an iteration of the
+        event loop for each response of a search over many shards.
         """
         assert self._transport is not None
         data = encode_request(request, self._host)
         self._parser = ResponseParser(request.method)
-        self._response = listener
+        self._on_response = on_response
         self._transport.write(data)
 
     async def request(self, request: HttpRequest) -> HttpResponse | Failure:
-        """Send a request and wait for its whole response."""
-        return await self.start(request)
+        """Send a request and wait for its complete response."""
+        return await self.send(request)
 
     def close(self) -> None:
-        """Close the connection; a running request fails."""
+        """Close the connection; a pending request fails."""
         self.is_open = False
         if self._transport is not None:
             self._transport.close()
@@ -212,7 +216,7 @@
         if probes is not None:
             probes.apply(transport.get_extra_info("socket"))
     except TimeoutError:
-        return NO_REPLICA.because(f"no connection to {address} in time")
+        return NO_REPLICA.because(f"connecting to {address} timed out")
     except ConnectionRefusedError:
         return CONNECTION_REFUSED.because(f"{address} refused the connection")
     except OSError as error:
--- a/chestnuthall/adapters/http/_messages.py
+++ b/chestnuthall/adapters/http/_messages.py
@@ -1,4 +1,4 @@
-"""HTTP messages with whole bodies."""
+"""HTTP messages with complete bodies."""
 
 from dataclasses import dataclass, field
 
@@ -12,10 +12,10 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """A request; header names are lower-case bytes.
+    """An HTTP request; header names are lower-case bytes.
 
-    ``header_pairs`` has all headers in their order, where a name may repeat;
-    ``headers`` then serves look-ups only.
+    If ``header_pairs`` is given, it lists all headers in order, including repeated
+    names, and ``headers`` is used for look-ups only.
     """
 
     method: str
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpResponse:
-    """A response; headers are as in ``HttpRequest``."""
+    """An HTTP response; headers are represented as in ``HttpRequest``."""
 
     status: int
     headers: dict[bytes, bytes] = field(default_factory=dict)
--- a/chestnuthall/adapters/http/_pool.py
+++ b/chestnuthall/adapters/http/_pool.py
@@ -1,4 +1,4 @@
-"""Keep-alive connections to one address, up to a budget."""
+"""Pool of keep-alive connections to one address, limited by a budget."""
 
 import asyncio
 from collections import deque
@@ -14,19 +14,24 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PoolSettings:
-    """Bounds of a pool."""
+    """Limits of a connection pool."""
 
     n_connections_max: int = 4
     connect_timeout_ms: float = 1_000.0
-    # Connections that are opened ahead of the calls; None is up to the bound.
+    # Number of connections opened in advance; None stands for n_connections_max.
     n_warm: int | None = None
-    # Idle connections beyond the kept ones are closed after this time.
+    # Idle connections in excess of ``n_idle_kept`` are closed after this time; with
+    # None they stay open.
     idle_close_ms: float | None = None
     probes: KeepAliveProbes | None = None
 
 
 class ConnectionPool:
-    """Connections to one address; never more than the budget are open."""
+    """Connections to one address; no more than the budget are open.
+
+    After the budget is lowered, excess connections that are in use are closed when
+    they are released.
+    """
 
     def __init__(self, address: str, settings: PoolSettings) -> None:
         self.address = address
@@ -43,20 +48,20 @@
 
     @property
     def n_open(self) -> int:
-        """Connections that are open or being opened."""
+        """Number of connections that are open or being opened."""
         return self._n_open
 
     async def acquire(self, timeout_ms: float) -> ClientConnection | Failure:
-        """Return an idle connection, a new one, or wait for one."""
-        connection = self.take_idle()
+        """Return an idle connection or a new one, or wait until one is released."""
+        connection = self.try_acquire_idle()
         if connection is not None:
             return connection
         if self._n_open < self.n_connections_max:
             return await self._open(timeout_ms)
-        return await self._wait(timeout_ms)
+        return await self._wait_for_release(timeout_ms)
 
-    def take_idle(self) -> ClientConnection | None:
-        """Return an idle connection, or None without waiting for one."""
+    def try_acquire_idle(self) -> ClientConnection | None:
+        """Return an idle connection, or None if there is none; never waits."""
         while self._idle:
             connection = self._idle.pop()
             if connection.is_idle:
@@ -75,10 +80,10 @@
             )
         finally:
             if not isinstance(connection, ClientConnection):
-                self._forget()
+                self._release_slot()
         return connection
 
-    async def _wait(self, timeout_ms: float) -> ClientConnection | Failure:
+    async def _wait_for_release(self, timeout_ms: float) -> ClientConnection | Failure:
         waiter: asyncio.Future[ClientConnection | None]
         waiter = asyncio.get_running_loop().create_future()
         self._waiters.append(waiter)
@@ -86,7 +91,9 @@
             async with asyncio.timeout(max(0.0, timeout_ms) / 1000.0):
                 connection = await waiter
         except TimeoutError:
-            return NO_REPLICA.because(f"no free connection to {self.address} in time")
+            return NO_REPLICA.because(
+                f"no connection to {self.address} became free in time"
+            )
         except asyncio.CancelledError:
             if waiter.done() and not waiter.cancelled():
                 self._return_unused(waiter.result())
@@ -97,51 +104,51 @@
 
     def _return_unused(self, connection: ClientConnection | None) -> None:
         if connection is None:
-            self._wake_one(None)
+            self._wake_waiter(None)
         else:
             self.release(connection)
 
     def release(self, connection: ClientConnection) -> None:
-        """Give back a connection after its response, or after its failure."""
+        """Return a connection to the pool after its request completed or failed."""
         if not connection.is_idle or self._is_closed:
             connection.close()
-            self._forget()
+            self._release_slot()
             return
         if self._n_open > self.n_connections_max:
             connection.close()
-            self._forget()
+            self._release_slot()
             return
-        if not self._wake_one(connection):
+        if not self._wake_waiter(connection):
             connection.idle_since_s = asyncio.get_running_loop().time()
             self._idle.append(connection)
 
     def close_long_idle(self) -> None:
-        """Close idle connections beyond the kept ones that were long unused."""
+        """Close connections in excess of ``n_idle_kept`` idle for ``idle_close_ms``."""
         if self._idle_close_ms is None:
             return
-        oldest_s = asyncio.get_running_loop().time() - self._idle_close_ms / 1000.0
+        cutoff_s = asyncio.get_running_loop().time() - self._idle_close_ms / 1000.0
         while len(self._idle) > self.n_idle_kept:
-            if self._idle[0].idle_since_s > oldest_s:
+            if self._idle[0].idle_since_s > cutoff_s:
                 return
             self._idle.pop(0).close()
             self._n_open -= 1
 
     def set_budget(self, n_connections_max: int) -> None:
-        """Change the budget; idle connections beyond it are closed at once.
+        """Change the budget; idle connections in excess of it are closed at once.
 
-        Connections in use beyond it are closed when they are given back.
+        Excess connections that are in use are closed when they are released.
         """
         self.n_connections_max = n_connections_max
         while self._idle and self._n_open > n_connections_max:
             self._idle.pop(0).close()
             self._n_open -= 1
         for _ in range(n_connections_max - self._n_open):
-            self._wake_one(None)
+            self._wake_waiter(None)
 
     async def warm_up(self) -> None:
-        """Open connections up to the budget ahead of the calls that need them.
+        """Open connections up to the budget in advance.
 
-        A new connection costs a call up to 6 ms.
+        A call that has to open a connection itself takes up to 6 ms longer.
         """
         n_wanted = self.n_connections_max
         if self._n_warm is not None:
@@ -152,12 +159,12 @@
                 return
             self.release(connection)
 
-    def _forget(self) -> None:
+    def _release_slot(self) -> None:
         self._n_open -= 1
         if self._n_open < self.n_connections_max:
-            self._wake_one(None)
+            self._wake_waiter(None)
 
-    def _wake_one(self, connection: ClientConnection | None) -> bool:
+    def _wake_waiter(self, connection: ClientConnection | None) -> bool:
         while self._waiters:
             waiter = self._waiters.popleft()
             if not waiter.done():
@@ -166,12 +173,15 @@
         return False
 
     @property
-    def has_live_idle(self) -> bool:
-        """Whether a connection that no call uses is still open."""
+    def has_open_idle(self) -> bool:
+        """Whether any idle connection is still open."""
         return any(connection.is_open for connection in self._idle)
 
-    async def accepts_connections(self, timeout_ms: float) -> bool:
-        """Return whether the address accepts a connection, which is kept."""
+    async def try_open(self, timeout_ms: float) -> bool:
+        """Open a connection and pool it; return whether that succeeded.
+
+        Returns False without an attempt if the budget is used up.
+        """
         if self._n_open >= self.n_connections_max:
             return False
         connection = await self._open(timeout_ms)
@@ -181,7 +191,7 @@
         return True
 
     def close(self) -> None:
-        """Close the idle connections, and the others as they are given back."""
+        """Close idle connections now and the others when they are released."""
         self._is_closed = True
         for connection in self._idle:
             connection.close()
--- a/chestnuthall/adapters/http/_server.py
+++ b/chestnuthall/adapters/http/_server.py
@@ -24,12 +24,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ServerLimits:
-    """Bounds that protect a server from its clients.
+    """Limits that protect a server from its clients.
 
-    ``idle_timeout_ms`` also bounds the time that a whole request may take to
-    arrive, and ``head_timeout_ms`` its head alone. ``accept_delay_ms`` is the cost
-    of a new connection in emulators. ``cancels_at_eof`` takes the end of a
-    client's stream for its departure; otherwise its request is still answered.
+    ``idle_timeout_ms`` also limits the time in which a complete request has to
+    arrive, and ``head_timeout_ms`` the time for its head alone. ``accept_delay_ms``
+    is the cost of a new connection in emulators. With ``cancels_at_eof``, the end
+    of a client's stream cancels its running request; otherwise the request is
+    still answered.
     """
 
     n_header_bytes_max: int = 16 * 1024
@@ -46,11 +47,11 @@
 
 
 class HttpServer:
-    """Listens on one address and hands whole requests to a handler.
+    """Listens on one address and passes complete requests to a handler.
 
-    An ``output_filter`` takes each response with its bytes and returns the
-    bytes to write and whether to close after them; emulators spoil answers
-    with it.
+    An ``output_filter`` receives each response with its encoded bytes and returns
+    the bytes to write and whether to close the connection after them; emulators
+    use it to inject faulty responses.
     """
 
     def __init__(
@@ -65,15 +66,15 @@
         self.limits = limits or ServerLimits()
         self.error_responder = error_responder
         self.is_closing = False
-        # Ends each connection with its next response while it is set.
+        # While this is set, each connection is closed after its next response.
         self.ends_connections = False
         self.n_connections_peak = 0
         self._connections: set[_ServerConnection] = set()
         self._server: asyncio.Server | None = None
-        self._quieter = asyncio.Event()
+        self._activity_ended = asyncio.Event()
 
     async def start(self, host: str, port: int) -> int:
-        """Listen; return the port, which the system chooses for port 0."""
+        """Start listening; return the port, which the system chooses for port 0."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: _ServerConnection(self), host, port, backlog=1024
@@ -92,7 +93,7 @@
         return len(self._connections)
 
     def add(self, connection: "_ServerConnection") -> bool:
-        """Note a new connection; return whether it may stay."""
+        """Register a new connection; return False if there are too many."""
         if len(self._connections) >= self.limits.n_connections_max:
             return False
         self._connections.add(connection)
@@ -100,16 +101,16 @@
         return True
 
     def discard(self, connection: "_ServerConnection") -> None:
-        """Forget a closed connection."""
+        """Unregister a closed connection."""
         self._connections.discard(connection)
-        self._quieter.set()
+        self._activity_ended.set()
 
-    def note_request_ended(self) -> None:
-        """Note that a connection has one running request less."""
-        self._quieter.set()
+    def on_request_completed(self) -> None:
+        """Wake ``wait_closed`` after a request has completed."""
+        self._activity_ended.set()
 
     def announce_close(self) -> None:
-        """End each connection with its next response."""
+        """Close each connection after its next response."""
         self.is_closing = True
 
     async def stop_listening(self) -> None:
@@ -121,18 +122,19 @@
             connection.close_if_idle()
 
     async def wait_closed(self, linger_ms: float) -> None:
-        """Wait for all requests that run, then at most a while for the rest.
+        """Wait for all running requests, then for the other connections to close.
 
-        The rest are responses that a slow client has not read yet, and
-        requests of which a part has arrived.
+        Other connections are those with a response that a slow client has not read
+        yet, or with a request that has only partly arrived. Gives up on them after
+        ``linger_ms`` in which none was closed.
         """
         while self._connections:
-            self._quieter.clear()
+            self._activity_ended.clear()
             is_serving = any(item.is_serving for item in self._connections)
             timeout_s = None if is_serving else linger_ms / 1000.0
             try:
                 async with asyncio.timeout(timeout_s):
-                    await self._quieter.wait()
+                    await self._activity_ended.wait()
             except TimeoutError:
                 return
 
@@ -155,15 +157,15 @@
         self._head: h11.Request | None = None
         self._body: list[bytes] = []
         self._n_body_bytes = 0
-        self._n_bytes_ahead = 0
+        self._n_pipelined_bytes = 0
         self._task: asyncio.Task[None] | None = None
         self._idle_timer: asyncio.TimerHandle | None = None
-        self._is_head_timed = False
+        self._is_head_timer_running = False
         self._can_write = asyncio.Event()
         self._can_write.set()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Note the transport; called by the event loop."""
+        """Register the connection; called by the event loop."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         if not self._server.add(self):
@@ -190,11 +192,11 @@
             self._task.cancel()
 
     def pause_writing(self) -> None:
-        """Hold back responses; called by the event loop."""
+        """Delay responses while the write buffer is full; called by the event loop."""
         self._can_write.clear()
 
     def resume_writing(self) -> None:
-        """Go on with responses; called by the event loop."""
+        """Send delayed responses; called by the event loop."""
         self._can_write.set()
 
     def _start_idle_timer(self, timeout_ms: float | None = None) -> None:
@@ -212,22 +214,25 @@
     def data_received(self, data: bytes) -> None:
         """Feed bytes to h11; called by the event loop."""
         if self._task is not None:
-            self._hold_back(len(data))
+            self._limit_pipelining(len(data))
         try:
             self._h11.receive_data(data)
             self._read_events()
         except h11.RemoteProtocolError as error:
             self._reject(error.error_status_hint, str(error))
 
-    def _hold_back(self, n_bytes: int) -> None:
-        """Stop reading from a client that sends on during its request."""
-        self._n_bytes_ahead += n_bytes
-        if self._n_bytes_ahead > self._server.limits.n_body_bytes_max:
+    def _limit_pipelining(self, n_bytes: int) -> None:
+        """Pause reading if a client sends too much while its request is running."""
+        self._n_pipelined_bytes += n_bytes
+        if self._n_pipelined_bytes > self._server.limits.n_body_bytes_max:
             assert self._transport is not None
             self._transport.pause_reading()
 
     def eof_received(self) -> bool:
-        """Close when idle; a running request still gets its response."""
+        """Close the connection if it is idle; called by the event loop.
+
+        A running request still gets its response, unless ``cancels_at_eof`` is set.
+        """
         self._h11.receive_data(b"")
         if self._task is None or self._server.limits.cancels_at_eof:
             self.close()
@@ -245,18 +250,18 @@
             self._read_event(event)
 
     def _limit_head_time(self) -> None:
-        """Bound the time for a head of which a part has arrived."""
+        """Limit the time for the rest of a head that has partly arrived."""
         timeout_ms = self._server.limits.head_timeout_ms
         is_partial = self._h11.their_state is h11.IDLE and self._h11.trailing_data[0]
-        if timeout_ms is None or self._is_head_timed or not is_partial:
+        if timeout_ms is None or self._is_head_timer_running or not is_partial:
             return
-        self._is_head_timed = True
+        self._is_head_timer_running = True
         self._start_idle_timer(timeout_ms)
 
     def _read_event(self, event: object) -> None:
         if isinstance(event, h11.Request):
-            if self._is_head_timed:
-                self._is_head_timed = False
+            if self._is_head_timer_running:
+                self._is_head_timer_running = False
                 self._start_idle_timer()
             self._head = event
             self._body = []
@@ -267,16 +272,16 @@
             self._body.append(bytes(event.data))
             self._n_body_bytes += len(event.data)
             if self._n_body_bytes > self._server.limits.n_body_bytes_max:
-                raise h11.RemoteProtocolError("the body is too large", 413)
+                raise h11.RemoteProtocolError("the request body is too large", 413)
         elif isinstance(event, h11.EndOfMessage):
-            self._begin_request()
+            self._dispatch_request()
 
     def _send_continue(self) -> None:
         assert self._transport is not None
-        go_on = h11.InformationalResponse(status_code=100, headers=[])
-        self._transport.write(self._h11.send(go_on) or b"")
+        interim_response = h11.InformationalResponse(status_code=100, headers=[])
+        self._transport.write(self._h11.send(interim_response) or b"")
 
-    def _begin_request(self) -> None:
+    def _dispatch_request(self) -> None:
         assert self._head is not None
         self._stop_idle_timer()
         request = HttpRequest(
@@ -301,8 +306,8 @@
         await self._can_write.wait()
         self._task = None
         self._send(response)
-        self._next_cycle()
-        self._server.note_request_ended()
+        self._start_next_cycle()
+        self._server.on_request_completed()
 
     def _send(self, response: HttpResponse) -> None:
         transport = self._transport
@@ -331,7 +336,7 @@
         if must_close:
             self._transport.close()
 
-    def _next_cycle(self) -> None:
+    def _start_next_cycle(self) -> None:
         if self._h11.our_state is not h11.DONE or (
             self._h11.their_state is not h11.DONE
         ):
@@ -339,8 +344,8 @@
             return
         self._h11.start_next_cycle()
         self._start_idle_timer()
-        if self._n_bytes_ahead:
-            self._n_bytes_ahead = 0
+        if self._n_pipelined_bytes:
+            self._n_pipelined_bytes = 0
             self._resume_reading()
         try:
             self._read_events()
@@ -357,16 +362,16 @@
 
     @property
     def is_serving(self) -> bool:
-        """Whether a request runs or its response waits to be written."""
+        """Whether a request is running or its response is waiting to be written."""
         return self._task is not None
 
     def close_if_idle(self) -> None:
-        """Close a connection that has no request."""
+        """Close the connection if it has no request in progress."""
         if self._task is None and self._h11.their_state is h11.IDLE:
             self.close()
 
     def close(self) -> None:
-        """Close after what was written has been sent."""
+        """Close the connection once the written data has been sent."""
         self._stop_idle_timer()
         if self._transport is not None:
             self._transport.close()
--- a/chestnuthall/adapters/http/tests/test_pool.py
+++ b/chestnuthall/adapters/http/tests/test_pool.py
@@ -1,4 +1,7 @@
-"""Guards the number of connections that an instance keeps to a replica."""
+"""Tests of the number of pooled connections.
+
+Guards against connections that stay open in excess of a lowered budget.
+"""
 
 import asyncio
 
@@ -17,7 +20,7 @@
     ],
 )
 def test_open_connections_follow_the_budget(budgets, n_in_use, n_open):
-    """A lowered part of an upstream's cap must not stay in use."""
+    """Connections in excess of a lowered budget must be closed on release."""
 
     async def scenario():
         server = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
--- a/chestnuthall/adapters/http/tests/test_responses.py
+++ b/chestnuthall/adapters/http/tests/test_responses.py
@@ -1,4 +1,8 @@
-"""Guards against responses that are cut, spoiled or followed by foreign bytes."""
+"""Tests of request encoding and response parsing.
+
+Guards against responses that are accepted though they are truncated or malformed,
+against reuse of a connection with extra bytes, and against header injection.
+"""
 
 import pytest
 
@@ -10,7 +14,7 @@
 )
 
 OK = b"HTTP/1.1 200 OK\r\n"
-# (case, method, pieces, whether the stream ends, body or None, may be reused)
+# (case, method, received pieces, whether the stream ends, body or None, is reusable)
 RESPONSES = [
     ("length", "GET", [OK + b"content-length: 2\r\n\r\nok"], False, b"ok", True),
     (
@@ -45,18 +49,25 @@
         b"ok",
         False,
     ),
-    ("ends with the stream", "GET", [OK + b"\r\no", b"k"], True, b"ok", False),
+    (
+        "delimited by the end of the stream",
+        "GET",
+        [OK + b"\r\no", b"k"],
+        True,
+        b"ok",
+        False,
+    ),
     ("no length, stream open", "GET", [OK + b"\r\nok"], False, None, False),
-    ("cut body", "GET", [OK + b"content-length: 3\r\n\r\nok"], True, None, False),
+    ("truncated body", "GET", [OK + b"content-length: 3\r\n\r\nok"], True, None, False),
     (
-        "cut chunk",
+        "truncated chunk",
         "GET",
         [OK + b"transfer-encoding: chunked\r\n\r\n5\r\nok"],
         True,
         None,
         False,
     ),
-    ("cut head", "GET", [OK + b"content-le"], True, None, False),
+    ("truncated head", "GET", [OK + b"content-le"], True, None, False),
     (
         "two responses at once",
         "GET",
@@ -66,7 +77,7 @@
         False,
     ),
     (
-        "junk after the response",
+        "extra bytes after the response",
         "GET",
         [OK + b"content-length: 2\r\n\r\nok\x00\x01"],
         False,
@@ -90,46 +101,48 @@
 
 
 @pytest.mark.parametrize(
-    ("method", "pieces", "at_end", "body", "is_reusable"),
+    ("method", "pieces", "is_at_eof", "body", "is_reusable"),
     [case[1:] for case in RESPONSES],
     ids=[case[0] for case in RESPONSES],
 )
-def test_response(method, pieces, at_end, body, is_reusable):
+def test_response(method, pieces, is_at_eof, body, is_reusable):
     parser = ResponseParser(method)
     response = None
     for piece in pieces:
         response = parser.feed(piece) or response
-    if at_end:
-        response = response or parser.end()
+    if is_at_eof:
+        response = response or parser.feed_eof()
     assert (None if response is None else response.body) == body
     assert parser.is_reusable == is_reusable
 
 
 # (case, bytes)
-BAD = [
-    ("no HTTP", b"\x16\x03\x01 hello\r\n\r\n"),
+INVALID_RESPONSES = [
+    ("not HTTP", b"\x16\x03\x01 hello\r\n\r\n"),
     ("no status", b"HTTP/1.1 OK\r\n\r\n"),
     (
-        "length and encoding",
+        "length and transfer encoding",
         OK + b"content-length: 2\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n",
     ),
     ("two lengths", OK + b"content-length: 2\r\ncontent-length: 3\r\n\r\nokk"),
-    ("odd length", OK + b"content-length: +2\r\n\r\nok"),
-    ("odd chunk", OK + b"transfer-encoding: chunked\r\n\r\nzz\r\nok\r\n"),
-    ("endless head", OK + b"x: " + b"y" * 70_000),
+    ("invalid length", OK + b"content-length: +2\r\n\r\nok"),
+    ("invalid chunk size", OK + b"transfer-encoding: chunked\r\n\r\nzz\r\nok\r\n"),
+    ("head too large", OK + b"x: " + b"y" * 70_000),
     ("body too large", OK + b"content-length: 99999999\r\n\r\n" + b"x" * 17_000_000),
 ]
 
 
 @pytest.mark.parametrize(
-    "data", [case[1] for case in BAD], ids=[case[0] for case in BAD]
+    "data",
+    [case[1] for case in INVALID_RESPONSES],
+    ids=[case[0] for case in INVALID_RESPONSES],
 )
-def test_bytes_that_are_no_response(data):
+def test_invalid_response_is_rejected(data):
     with pytest.raises(ResponseError):
         ResponseParser("GET").feed(data)
 
 
-def test_request_is_written_as_it_came():
+def test_request_keeps_header_order_and_duplicates():
     pairs = ((b"host", b"a"), (b"x", b"1"), (b"x", b"2"))
     request = HttpRequest("POST", "/p?q", dict(pairs), b"body", pairs)
     assert encode_request(request, b"other") == (
@@ -147,7 +160,7 @@
         HttpRequest("GET", "/", {b"x": b"\0"}),
     ],
 )
-def test_smuggled_line_ends_are_refused(request_):
-    """A header must not become a second request at a replica."""
-    with pytest.raises(ValueError, match="line end"):
+def test_line_breaks_in_the_head_are_rejected(request_):
+    """Header injection must not produce a second request at a replica."""
+    with pytest.raises(ValueError, match="line break"):
         encode_request(request_, b"a")
--- a/chestnuthall/adapters/http/tests/test_server.py
+++ b/chestnuthall/adapters/http/tests/test_server.py
@@ -1,4 +1,8 @@
-"""Guards the server against clients that break the protocol or its limits."""
+"""Tests of the server with clients that violate the protocol or its limits.
+
+Guards against exceptions that leave the connection, and against connections that
+stay open although the request is invalid or too slow.
+"""
 
 import asyncio
 
@@ -15,7 +19,7 @@
 
 
 class RecordingTransport(asyncio.Transport):
-    """Keeps what is written; nothing is sent."""
+    """Transport that records written bytes and sends nothing."""
 
     def __init__(self):
         super().__init__()
@@ -66,12 +70,12 @@
 @pytest.mark.parametrize(
     ("chunks", "statuses", "closed"),
     [
-        pytest.param([GOOD], [b"200"], False, id="one"),
+        pytest.param([GOOD], [b"200"], False, id="single-request"),
         pytest.param([GOOD[:30], GOOD[30:]], [b"200"], False, id="split"),
         pytest.param([GOOD + GOOD + CLOSE], [b"200"] * 3, True, id="pipelined"),
         pytest.param([b"\x00\x01nonsense\r\n\r\n"], [b"400"], True, id="not-http"),
         pytest.param(
-            [b"GET /" + b"a" * 4096], [b"431"], True, id="endless-request-line"
+            [b"GET /" + b"a" * 4096], [b"431"], True, id="request-line-too-long"
         ),
         pytest.param(
             [b"POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 101\r\n\r\n" + b"a" * 101],
@@ -101,7 +105,9 @@
             False,
             id="expect-continue",
         ),
-        pytest.param([GOOD, b"\x00\r\n\r\n"], [b"200", b"400"], True, id="then-bad"),
+        pytest.param(
+            [GOOD, b"\x00\r\n\r\n"], [b"200", b"400"], True, id="valid-then-invalid"
+        ),
     ],
 )
 def test_statuses(chunks, statuses, closed):
@@ -129,7 +135,7 @@
 
 
 def test_slow_request_is_closed():
-    """A client that sends a body byte by byte must not hold its connection."""
+    """A client that sends its body too slowly must not keep its connection."""
 
     async def scenario():
         limits = ServerLimits(idle_timeout_ms=20.0)
--- a/chestnuthall/adapters/upstreams/_caller.py
+++ b/chestnuthall/adapters/upstreams/_caller.py
@@ -181,7 +181,7 @@
     async def call(self, call: ShardCall) -> ShardAnswer | Failure:
         """Run one call and return the whole answer that echoes its id."""
         pool = self._pool(call.replica.address, self._budget_name(call))
-        connection: ClientConnection | Failure | None = pool.take_idle()
+        connection: ClientConnection | Failure | None = pool.try_acquire_idle()
         if connection is None:
             connection = await pool.acquire(call.deadline_ms - self._clock.now_ms())
         if isinstance(connection, Failure):
@@ -201,7 +201,7 @@
         """
         pool = self._pool(call.replica.address, self._budget_name(call))
         remaining_ms = call.deadline_ms - self._clock.now_ms()
-        connection = pool.take_idle() if remaining_ms > 0.0 else None
+        connection = pool.try_acquire_idle() if remaining_ms > 0.0 else None
         if connection is None:
             return None
         is_cancelled = False
@@ -220,7 +220,7 @@
             is_cancelled = True
             self._abandon(call, pool, connection)
 
-        connection.begin(self._codec.encode_call(call, remaining_ms), take)
+        connection.send_with_callback(self._codec.encode_call(call, remaining_ms), take)
         return cancel
 
     async def _report_loss(
@@ -250,7 +250,7 @@
         connection: ClientConnection,
         remaining_ms: float,
     ) -> ShardAnswer | Failure:
-        response = connection.start(self._codec.encode_call(call, remaining_ms))
+        response = connection.send(self._codec.encode_call(call, remaining_ms))
         # A timer handle costs a fraction of asyncio.timeout on this path.
         timer = asyncio.get_running_loop().call_later(
             remaining_ms / 1000.0, _expire, response
@@ -290,7 +290,7 @@
             timer.cancel()
             pool.release(connection)
 
-        connection.when_free(give_back)
+        connection.call_when_free(give_back)
         if cancel is not None:
             self._spawn(self._send_cancel(cancel, pool))
 
@@ -304,9 +304,9 @@
         """
         if failure.kind is not CONNECTION_LOST:
             return failure
-        if pool.has_live_idle:
+        if pool.has_open_idle:
             await self._clock.sleep_ms(CRASH_SPREAD_MS)
-        if pool.has_live_idle or await pool.accepts_connections(CRASH_CONNECT_MS):
+        if pool.has_open_idle or await pool.try_open(CRASH_CONNECT_MS):
             return ANSWER_CUT.because(failure.reason)
         return failure
 
