--- a/chestnuthall/adapters/upstreams/_caller.py
+++ b/chestnuthall/adapters/upstreams/_caller.py
@@ -28,18 +28,19 @@
 )
 from chestnuthall.ports import CallListener, CancelCall, Clock
 
-# Connections to one replica where a fleet is too large for a fixed part of the cap.
+# Connections to a replica if its connection limit is too small for two connections
+# from each instance.
 N_CONNECTIONS_SCARCE = 2
 IDLE_CLOSE_INTERVAL_MS = 500.0
-# How long the connection of a cancelled call may wait for the rest of its
-# answer. Opening another one costs the upstream up to 6 ms.
-DRAIN_TIMEOUT_MS = 1_000.0
+# Time in which the answer to a cancelled call has to arrive before its connection is
+# closed. Opening another connection costs the upstream up to 6 ms.
+LATE_ANSWER_TIMEOUT_MS = 1_000.0
 CANCEL_TIMEOUT_MS = 100.0
-# A process that lives accepts a connection within this time; the retry of the call
-# waits for it.
-CRASH_CONNECT_MS = 30.0
-# When a process ends, all of its connections end within this time.
-CRASH_SPREAD_MS = 2.0
+# Time in which a running process accepts a connection. The retry of a lost call is
+# delayed by this check.
+CRASH_CHECK_TIMEOUT_MS = 30.0
+# Time in which all connections of a process are closed after it has ended.
+CRASH_CLOSE_TIME_MS = 2.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,19 +48,19 @@
     """Connections to each replica; see ``set_connection_budget``."""
 
     n_connections: int
-    kept_ratio: float
-    n_near: int | None = None
+    connected_ratio: float
+    n_connections_in_zone: int | None = None
 
 
-# Until the group of a replica, and with it the budget, is known.
+# Used until the group of a replica, and with it the budget, is known.
 BUDGET_DEFAULT = _Budget(1, 0.0)
 
 
 class HttpShardCaller:
-    """Calls replicas over keep-alive connections within a budget for each.
+    """Calls replicas over keep-alive connections, with a connection budget for each.
 
-    The codec speaks the replicas' protocol. Budgets are set by group, or by shard
-    where the shards of a group differ.
+    The codec implements the protocol of the replicas. Budgets are set by group, or
+    by shard if the shards of a group differ.
     """
 
     def __init__(
@@ -79,8 +80,8 @@
         self._group_of_address: dict[str, str] = {}
         self._budgets: dict[str, _Budget] = {}
         self._default_budget = BUDGET_DEFAULT
-        self._near_addresses: set[str] = set()
-        self._background: set[asyncio.Task[None]] = set()
+        self._same_zone_addresses: set[str] = set()
+        self._background_tasks: set[asyncio.Task[None]] = set()
 
     def set_connection_budget(
         self,
@@ -91,15 +92,15 @@
     ) -> None:
         """Set how many connections may be open to each replica of a group.
 
-        ``group`` may also be the id of a shard. ``kept_ratio`` is the part of the
-        replicas to which a connection stays open when it is idle, where there is
-        not even one for each instance. ``n_near`` is the number for replicas in the
-        own zone, if they have one of their own.
+        ``group`` may also be the id of a shard. If there is less than one connection
+        for each instance, ``kept_ratio`` is the fraction of the replicas to which an
+        idle connection stays open. ``n_near`` is the number of connections to each
+        replica in the instance's own zone, if that has a separate budget.
         """
         budget = _Budget(n_connections, kept_ratio, n_near)
         is_known = self._budgets.get(group) == budget
         if is_known and self._pool_settings.idle_close_ms is not None:
-            # Connections that were closed for being idle are not opened again.
+            # Connections that were closed because they were idle are not reopened.
             return
         self._budgets[group] = budget
         for address, pool in self._pools.items():
@@ -108,29 +109,37 @@
                 self._spawn(pool.warm_up())
 
     def set_default_budget(self, n_connections: int) -> None:
-        """Set the connections to each address whose group has no budget."""
+        """Set the connection budget of addresses whose group has none."""
         self._default_budget = _Budget(n_connections, 1.0)
 
     def _apply_budget(
         self, address: str, pool: ConnectionPool, budget: "_Budget"
     ) -> None:
-        """Bound a pool, and say how many of its connections stay when idle.
+        """Limit a pool and set how many of its connections stay open when idle.
 
-        Where a replica has not two connections for each instance, one stays open
-        to a part of the replicas, which differs between instances, and short-lived
-        ones serve the rest. If the own zone has enough, they stay open to its
+        If a replica has fewer than two connections for each instance, one stays
+        open to a fraction of the replicas, which differs between instances, and
+        short-lived connections serve the other replicas. If the replicas in the
+        instance's own zone have enough connections, idle ones stay open to these
         replicas only.
         """
         n_connections = budget.n_connections
         is_scarce = self._pool_settings.idle_close_ms is not None and n_connections < 2
-        if is_scarce and budget.n_near and address in self._near_addresses:
-            is_scarce, n_connections = False, budget.n_near
+        if (
+            is_scarce
+            and budget.n_connections_in_zone
+            and address in self._same_zone_addresses
+        ):
+            is_scarce, n_connections = False, budget.n_connections_in_zone
         if not is_scarce:
             pool.n_idle_kept = n_connections
             pool.set_budget(n_connections)
             return
-        is_kept = not budget.n_near and _place(self._name, address) < budget.kept_ratio
-        pool.n_idle_kept = 1 if is_kept else 0
+        is_kept_open = (
+            not budget.n_connections_in_zone
+            and _hash_to_ratio(self._name, address) < budget.connected_ratio
+        )
+        pool.n_idle_kept = 1 if is_kept_open else 0
         pool.set_budget(N_CONNECTIONS_SCARCE)
 
     def _pool(self, address: str, group: str) -> ConnectionPool:
@@ -146,7 +155,7 @@
             self._apply_budget(address, pool, budget)
             self._spawn(pool.warm_up())
         elif group and not self._group_of_address[address]:
-            # A map was fetched from the replica before its first call.
+            # The pool was opened to fetch a partition map, before the first call.
             self._group_of_address[address] = group
             budget = self._budgets.get(group, BUDGET_DEFAULT)
             pool.set_budget(budget.n_connections)
@@ -155,32 +164,32 @@
     def prepare(self, replica: Replica, shard_id: str) -> None:
         """Open connections to a replica ahead of the first call."""
         if replica.zone == self._zone:
-            self._near_addresses.add(replica.address)
+            self._same_zone_addresses.add(replica.address)
         self._pool(replica.address, shard_id)
 
     def forget(self, address: str) -> None:
-        """Close the connections to a replica that has left."""
+        """Close the connections to a replica that was removed."""
         pool = self._pools.pop(address, None)
         self._group_of_address.pop(address, None)
-        self._near_addresses.discard(address)
+        self._same_zone_addresses.discard(address)
         if pool is not None:
             pool.close()
 
     async def run(self) -> None:
-        """Close long idle connections until cancelled."""
+        """Close connections that were idle for too long, until cancelled."""
         while True:
             await self._clock.sleep_ms(IDLE_CLOSE_INTERVAL_MS)
             for pool in self._pools.values():
                 pool.close_long_idle()
 
-    def _budget_name(self, call: ShardCall) -> str:
+    def _budget_key(self, call: ShardCall) -> str:
         if call.shard_id in self._budgets:
             return call.shard_id
         return call.request.group
 
     async def call(self, call: ShardCall) -> ShardAnswer | Failure:
-        """Run one call and return the whole answer that echoes its id."""
-        pool = self._pool(call.replica.address, self._budget_name(call))
+        """Run one call and return the complete answer that echoes its id."""
+        pool = self._pool(call.replica.address, self._budget_key(call))
         connection: ClientConnection | Failure | None = pool.try_acquire_idle()
         if connection is None:
             connection = await pool.acquire(call.deadline_ms - self._clock.now_ms())
@@ -188,62 +197,66 @@
             return connection
         remaining_ms = call.deadline_ms - self._clock.now_ms()
         if remaining_ms <= 0.0:
-            # The process may have been paused while it waited.
+            # The process may have stalled while it waited for the connection.
             pool.release(connection)
-            return DEADLINE_PASSED.because("the deadline passed before the first byte")
-        return await self._exchange_call(call, pool, connection, remaining_ms)
+            return DEADLINE_PASSED.because(
+                "the deadline passed before the call was sent"
+            )
+        return await self._send_call(call, pool, connection, remaining_ms)
 
     def begin(self, call: ShardCall, on_result: CallListener) -> CancelCall | None:
-        """Start a call at once if a connection is idle, and return its cancellation.
+        """Start a call if a connection is idle; return a function that cancels it.
 
-        Returns None where the call has to wait for a connection. The caller
-        cancels the call at its deadline.
+        Returns None if the call would have to wait for a connection or its deadline
+        has passed. The call has no timeout: it has to be cancelled at its deadline.
         """
-        pool = self._pool(call.replica.address, self._budget_name(call))
+        pool = self._pool(call.replica.address, self._budget_key(call))
         remaining_ms = call.deadline_ms - self._clock.now_ms()
         connection = pool.try_acquire_idle() if remaining_ms > 0.0 else None
         if connection is None:
             return None
         is_cancelled = False
 
-        def take(result: HttpResponse | Failure) -> None:
+        def on_response(result: HttpResponse | Failure) -> None:
             if is_cancelled:
                 return
             if isinstance(result, Failure):
                 pool.release(connection)
                 self._spawn(self._report_loss(pool, result, on_result))
                 return
-            on_result(self._read(call, pool, connection, result))
+            on_result(self._decode_response(call, pool, connection, result))
 
         def cancel() -> None:
             nonlocal is_cancelled
             is_cancelled = True
-            self._abandon(call, pool, connection)
+            self._cancel_call(call, pool, connection)
 
-        connection.send_with_callback(self._codec.encode_call(call, remaining_ms), take)
+        connection.send_with_callback(
+            self._codec.encode_call(call, remaining_ms), on_response
+        )
         return cancel
 
     async def _report_loss(
         self, pool: ConnectionPool, failure: Failure, on_result: CallListener
     ) -> None:
-        on_result(await self._explain_loss(pool, failure))
+        on_result(await self._classify_loss(pool, failure))
 
-    def _read(
+    def _decode_response(
         self,
         call: ShardCall,
         pool: ConnectionPool,
         connection: ClientConnection,
         response: HttpResponse,
     ) -> ShardAnswer | Failure:
-        """Return what a response says, and give its connection back."""
+        """Decode a response and release its connection."""
         answer = self._codec.read_answer(call, response)
         if isinstance(answer, Failure) and answer.kind is CALL_MISMATCH:
-            # Whatever else is on the connection may belong to other calls too.
+            # Further responses on the connection may belong to other calls, too.
             connection.close()
         pool.release(connection)
         return answer
 
-    async def _exchange_call(
+    async def _send_call(
         self,
         call: ShardCall,
         pool: ConnectionPool,
@@ -251,72 +264,75 @@
         remaining_ms: float,
     ) -> ShardAnswer | Failure:
         response = connection.send(self._codec.encode_call(call, remaining_ms))
-        # A timer handle costs a fraction of asyncio.timeout on this path.
+        # Each call runs this; a timer handle costs a fraction of asyncio.timeout.
         timer = asyncio.get_running_loop().call_later(
-            remaining_ms / 1000.0, _expire, response
+            remaining_ms / 1000.0, _set_timed_out, response
         )
         try:
             result = await response
         except asyncio.CancelledError:
-            self._abandon(call, pool, connection)
+            self._cancel_call(call, pool, connection)
             raise
         finally:
             timer.cancel()
         if isinstance(result, Failure) and result.kind is CALL_TIMED_OUT:
-            self._abandon(call, pool, connection)
+            self._cancel_call(call, pool, connection)
             return result
         if isinstance(result, Failure):
             pool.release(connection)
-            return await self._explain_loss(pool, result)
-        return self._read(call, pool, connection, result)
+            return await self._classify_loss(pool, result)
+        return self._decode_response(call, pool, connection, result)
 
-    def _abandon(
+    def _cancel_call(
         self, call: ShardCall, pool: ConnectionPool, connection: ClientConnection
     ) -> None:
-        """Keep the connection out of use until its late answer has been read.
+        """Cancel a call; release its connection once its late answer has been read.
 
-        Where the protocol has no message that cancels a call, the connection is
-        closed, which makes the replica drop it.
+        If the protocol has no message that cancels a call, the connection is closed,
+        which makes the replica drop the call.
         """
-        cancel = self._codec.encode_cancel(call)
-        if cancel is None and self._codec.closes_to_cancel:
+        cancel_request = self._codec.encode_cancel(call)
+        if cancel_request is None and self._codec.closes_to_cancel:
             connection.close()
             pool.release(connection)
             return
         loop = asyncio.get_running_loop()
-        timer = loop.call_later(DRAIN_TIMEOUT_MS / 1000.0, connection.close)
+        timer = loop.call_later(LATE_ANSWER_TIMEOUT_MS / 1000.0, connection.close)
 
-        def give_back() -> None:
+        def release_connection() -> None:
             timer.cancel()
             pool.release(connection)
 
-        connection.call_when_free(give_back)
-        if cancel is not None:
-            self._spawn(self._send_cancel(cancel, pool))
+        connection.call_when_free(release_connection)
+        if cancel_request is not None:
+            self._spawn(self._send_cancel(cancel_request, pool))
 
-    async def _send_cancel(self, cancel: HttpRequest, pool: ConnectionPool) -> None:
-        await self._exchange(pool, cancel, CANCEL_TIMEOUT_MS)
+    async def _send_cancel(
+        self, cancel_request: HttpRequest, pool: ConnectionPool
+    ) -> None:
+        await self._exchange(pool, cancel_request, CANCEL_TIMEOUT_MS)
 
-    async def _explain_loss(self, pool: ConnectionPool, failure: Failure) -> Failure:
-        """Tell a lost connection from a lost process.
+    async def _classify_loss(self, pool: ConnectionPool, failure: Failure) -> Failure:
+        """Distinguish a lost connection from a process that has ended.
 
-        A process that has ended has lost all of its connections and accepts none.
+        A process that has ended has closed all of its connections and accepts no new
+        one. If the process is running, the failure is ``ANSWER_CUT``.
         """
         if failure.kind is not CONNECTION_LOST:
             return failure
         if pool.has_open_idle:
-            await self._clock.sleep_ms(CRASH_SPREAD_MS)
-        if pool.has_open_idle or await pool.try_open(CRASH_CONNECT_MS):
+            await self._clock.sleep_ms(CRASH_CLOSE_TIME_MS)
+        if pool.has_open_idle or await pool.try_open(CRASH_CHECK_TIMEOUT_MS):
             return ANSWER_CUT.because(failure.reason)
         return failure
 
     async def exchange(
         self, replica: Replica, group: str, request: HttpRequest, timeout_ms: float
     ) -> HttpResponse | Failure:
-        """Send another request than a call to a replica; return its response.
+        """Send a request other than a shard call to a replica; return its response.
 
-        The group serves for a replica that is not known yet; "" if it is not known
-        either.
+        ``group`` is used if the replica is not known yet; it is "" if the group is
+        unknown, too.
         """
         group = self._group_of_address.get(replica.address) or group
         return await self._exchange(
@@ -337,10 +353,10 @@
         finally:
             pool.release(connection)
 
-    def _spawn(self, work: Coroutine[None, None, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
-        self._background.add(task)
-        task.add_done_callback(self._background.discard)
+    def _spawn(self, coroutine: Coroutine[None, None, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
+        self._background_tasks.add(task)
+        task.add_done_callback(self._background_tasks.discard)
 
     def close(self) -> None:
         """Close the idle connections."""
@@ -348,12 +364,14 @@
             pool.close()
 
 
-def _place(name: str, address: str) -> float:
-    """Return a number from 0 to 1 that is fixed for an instance and a replica."""
+def _hash_to_ratio(name: str, address: str) -> float:
+    """Return a hash of an instance and a replica address, from 0 to 1."""
     digest = blake2b(f"{name} {address}".encode(), digest_size=4).digest()
     return int.from_bytes(digest) / 2.0**32
 
 
-def _expire(response: "asyncio.Future[HttpResponse | Failure]") -> None:
+def _set_timed_out(response: "asyncio.Future[HttpResponse | Failure]") -> None:
     if not response.done():
-        response.set_result(CALL_TIMED_OUT.because("the deadline passed"))
+        response.set_result(
+            CALL_TIMED_OUT.because("the deadline passed during the call")
+        )
--- a/chestnuthall/adapters/upstreams/_codec.py
+++ b/chestnuthall/adapters/upstreams/_codec.py
@@ -1,4 +1,4 @@
-"""What differs between the protocols of upstreams."""
+"""Interface to the protocols of upstreams."""
 
 from typing import Protocol
 
@@ -20,7 +20,7 @@
     def read_answer(
         self, call: ShardCall, response: HttpResponse
     ) -> ShardAnswer | Failure:
-        """Return the answer of a call, or why the response is none."""
+        """Return the answer to a call, or a failure if the response is not one."""
         ...
 
     def encode_cancel(self, call: ShardCall) -> HttpRequest | None:
