--- a/chestnuthall/adapters/peers/__init__.py
+++ b/chestnuthall/adapters/peers/__init__.py
@@ -1,4 +1,4 @@
-"""Exchange between entry instances over gRPC."""
+"""Communication between entry instances over gRPC."""
 
 from chestnuthall.adapters.peers._client import GrpcPeerTransport
 from chestnuthall.adapters.peers._server import GrpcPeerServer
--- a/chestnuthall/adapters/peers/_channels.py
+++ b/chestnuthall/adapters/peers/_channels.py
@@ -1,4 +1,4 @@
-"""A bounded number of gRPC channels."""
+"""Cache of a bounded number of gRPC channels."""
 
 import asyncio
 from collections import OrderedDict
@@ -8,23 +8,23 @@
 
 import grpc.aio
 
-# The reconnect backoff of gRPC grows to two minutes by default; a peer that
-# was restarted has to be found again within the probe interval.
+# The reconnect backoff of gRPC grows to two minutes by default; a restarted
+# peer has to be reachable again within the probe interval.
 _CHANNEL_OPTIONS = (
     ("grpc.initial_reconnect_backoff_ms", 100),
     ("grpc.max_reconnect_backoff_ms", 1000),
     ("grpc.enable_http_proxy", 0),
-    # Channels to one address share a connection by default, also after one of
+    # By default, channels to one address share a connection, even after one of
     # them was closed and its peer was replaced.
     ("grpc.use_local_subchannel_pool", 1),
 )
-# A channel costs tens of kilobytes; with one to each of 1,900 peers an
-# instance would exceed its 64 MB.
+# A channel takes tens of kilobytes of memory; with one to each of 1,900 peers
+# an instance would exceed its limit of 64 MB.
 N_CHANNELS_MAX = 64
 
 
 @dataclass(slots=True)
-class _Entry:
+class _CachedChannel:
     channel: grpc.aio.Channel
     n_running: int = 0
 
@@ -34,7 +34,7 @@
 
     def __init__(self, n_channels_max: int = N_CHANNELS_MAX) -> None:
         self._n_channels_max = n_channels_max
-        self._entries: OrderedDict[str, _Entry] = OrderedDict()
+        self._entries: OrderedDict[str, _CachedChannel] = OrderedDict()
         self._closing: set[asyncio.Task[None]] = set()
 
     def __len__(self) -> int:
@@ -42,11 +42,11 @@
 
     @contextmanager
     def channel(self, address: str) -> Iterator[grpc.aio.Channel]:
-        """Lend the channel of an address for one call."""
+        """Provide the channel to an address for the duration of one call."""
         entry = self._entries.get(address)
         if entry is None:
             channel = grpc.aio.insecure_channel(address, options=_CHANNEL_OPTIONS)
-            entry = self._entries[address] = _Entry(channel)
+            entry = self._entries[address] = _CachedChannel(channel)
         self._entries.move_to_end(address)
         entry.n_running += 1
         self._close_surplus()
--- a/chestnuthall/adapters/peers/_client.py
+++ b/chestnuthall/adapters/peers/_client.py
@@ -1,4 +1,4 @@
-"""Peer transport port on gRPC."""
+"""Peer transport port over gRPC."""
 
 from collections.abc import Awaitable, Callable
 from typing import TypeVar
@@ -46,7 +46,7 @@
     async def probe_for(
         self, address: str, target_address: str, timeout_ms: float
     ) -> bool | Failure:
-        """Ask a peer to probe another one; return whether that one answered."""
+        """Request an indirect probe by a peer; return whether the target answered."""
         message = pb.ProbeForRequest(target_address=target_address)
         answer = await self._call(
             address, lambda stub: stub.ProbeFor(message, timeout=timeout_ms / 1000.0)
@@ -71,7 +71,7 @@
     async def query_shards(
         self, address: str, call: ShardSetCall, timeout_ms: float
     ) -> PartialAnswer | Failure:
-        """Ask a peer to answer for a set of shards."""
+        """Query a set of shards through a peer."""
         message = call_to_proto(call)
         answer = await self._call(
             address,
@@ -88,14 +88,14 @@
             try:
                 return await start(pb_grpc.PeerServiceStub(channel))
             except grpc.aio.AioRpcError as error:
-                return _failure_of(error)
+                return _failure_from_error(error)
 
     async def close(self) -> None:
         """Close all channels."""
         await self._channels.close()
 
 
-def _failure_of(error: grpc.aio.AioRpcError) -> Failure:
+def _failure_from_error(error: grpc.aio.AioRpcError) -> Failure:
     if error.code() is grpc.StatusCode.DEADLINE_EXCEEDED:
         return CALL_TIMED_OUT.because("the peer did not answer in time")
     return CONNECTION_LOST.because(f"peer call failed: {error.code().name}")
--- a/chestnuthall/adapters/peers/_convert.py
+++ b/chestnuthall/adapters/peers/_convert.py
@@ -19,7 +19,7 @@
         configuration_revision=digest.configuration_revision,
         configuration_digest=digest.configuration_digest,
         members=[_member_to_proto(item) for item in digest.members],
-        uses=[_use_to_proto(item) for item in digest.uses],
+        uses=[_usage_to_proto(item) for item in digest.uses],
         drains=[
             pb.DrainNotice(
                 replica_name=item.replica_name,
@@ -52,7 +52,7 @@
     )
 
 
-def _use_to_proto(item: ClassUse) -> pb.ClassUse:
+def _usage_to_proto(item: ClassUse) -> pb.ClassUse:
     return pb.ClassUse(
         instance=item.instance,
         incarnation=item.incarnation,
@@ -65,7 +65,7 @@
 
 
 def digest_from_proto(message: pb.PeerDigest) -> PeerDigest:
-    """Return the digest that a protobuf message stands for."""
+    """Return the digest that a protobuf message encodes."""
     return PeerDigest(
         sender=message.sender,
         sender_address=message.sender_address,
@@ -78,7 +78,7 @@
             )
             for item in message.members
         ),
-        uses=tuple(_use_from_proto(item) for item in message.uses),
+        uses=tuple(_usage_from_proto(item) for item in message.uses),
         drains=tuple(
             DrainNotice(
                 item.replica_name,
@@ -101,7 +101,7 @@
     )
 
 
-def _use_from_proto(item: pb.ClassUse) -> ClassUse:
+def _usage_from_proto(item: pb.ClassUse) -> ClassUse:
     return ClassUse(
         instance=item.instance,
         incarnation=item.incarnation,
--- a/chestnuthall/adapters/peers/_convert_shards.py
+++ b/chestnuthall/adapters/peers/_convert_shards.py
@@ -1,4 +1,4 @@
-"""Conversion of the messages of the two-level fan-out."""
+"""Conversion between the shard set messages of the ports and of protobuf."""
 
 from chestnuthall.adapters.peers._generated import peers_pb2 as pb
 from chestnuthall.core.fanout import PartialAnswer
@@ -23,7 +23,7 @@
 
 
 def call_from_proto(message: pb.ShardSetCall) -> ShardSetCall:
-    """Return the call that a protobuf message stands for."""
+    """Return the call that a protobuf message encodes."""
     return ShardSetCall(
         call_id=message.call_id,
         group=message.group,
@@ -64,7 +64,7 @@
 
 
 def answer_from_proto(message: pb.ShardSetAnswer) -> PartialAnswer | Failure:
-    """Return the partial answer or failure that a message stands for."""
+    """Return the partial answer or failure that a protobuf message encodes."""
     if message.failure_code:
         kind = failure_kind_of(message.failure_code) or INTERNAL_ERROR
         return kind.because(message.reason)
--- a/chestnuthall/adapters/peers/_server.py
+++ b/chestnuthall/adapters/peers/_server.py
@@ -1,4 +1,4 @@
-"""The gRPC server that peers call."""
+"""gRPC server for the calls of peers."""
 
 import grpc
 import grpc.aio
@@ -14,7 +14,7 @@
 
 
 class _Servicer(pb_grpc.PeerServiceServicer):
-    """Method names are those of the service definition."""
+    """Implements the peer service; method names are those of ``peers.proto``."""
 
     def __init__(self, service: PeerService) -> None:
         self._service = service
@@ -34,14 +34,14 @@
     async def FetchConfiguration(
         self, request: pb.FetchConfigurationRequest, context: grpc.aio.ServicerContext
     ) -> pb.FetchConfigurationResponse:
-        found = self._service.configuration()
-        if found is None:
+        configuration = self._service.configuration()
+        if configuration is None:
             return pb.FetchConfigurationResponse()
         return pb.FetchConfigurationResponse(
-            environment=found.environment,
-            revision=found.revision,
-            digest=found.digest,
-            text=found.text,
+            environment=configuration.environment,
+            revision=configuration.revision,
+            digest=configuration.digest,
+            text=configuration.text,
         )
 
     async def QueryShards(
@@ -52,7 +52,7 @@
 
 
 class GrpcPeerServer:
-    """Listens for peers on one address."""
+    """Accepts the calls of peers on one address."""
 
     def __init__(self, service: PeerService) -> None:
         self._server = grpc.aio.server(options=(("grpc.so_reuseport", 0),))
@@ -65,5 +65,5 @@
         return port
 
     async def close(self, grace_ms: float = 200.0) -> None:
-        """Stop listening and let running calls end."""
+        """Stop listening; running calls may complete within ``grace_ms``."""
         await self._server.stop(grace_ms / 1000.0)
--- a/chestnuthall/adapters/peers/tests/test_contract.py
+++ b/chestnuthall/adapters/peers/tests/test_contract.py
@@ -1,4 +1,8 @@
-"""Contract of the PeerTransport port, for the fake and for gRPC alike."""
+"""Contract tests of the PeerTransport port, run on the fake and on gRPC.
+
+Guards against fields that are lost in conversion, against failures that are raised
+or returned too late, and against an unbounded number of channels.
+"""
 
 import asyncio
 import socket
@@ -56,7 +60,7 @@
 
 
 class Peer:
-    """Answers with what it is told to, after a delay."""
+    """Peer service with preset answers and a preset delay."""
 
     def __init__(self):
         self.delay_s = 0.0
@@ -143,7 +147,7 @@
 
 @pytest.mark.parametrize("adapter", ADAPTERS)
 @pytest.mark.parametrize(("call", "expected"), CALLS)
-def test_values_pass_unchanged(adapter, call, expected):
+def test_values_are_transmitted_unchanged(adapter, call, expected):
     """No field may be lost or changed on its way to a peer and back."""
 
     async def scenario():
@@ -170,8 +174,8 @@
         (_query, "refused", SNAPSHOT_GONE),
     ],
 )
-def test_faults_are_returned(adapter, call, fault, kind):
-    """A failed call must return its failure in time and raise nothing."""
+def test_failures_are_returned(adapter, call, fault, kind):
+    """A failed call must return its failure within its timeout and not raise."""
 
     async def scenario():
         peer, address = Peer(), _free_address()
@@ -193,7 +197,7 @@
 
 
 def test_channels_are_bounded():
-    """One channel for each of 1,900 peers would not fit into an instance."""
+    """One channel for each of 1,900 peers would exceed the memory of an instance."""
 
     async def scenario():
         addresses = [_free_address() for _ in range(6)]
@@ -203,10 +207,12 @@
         transport = GrpcPeerTransport(n_channels_max=3)
         results = [await _exchange(transport, address) for address in addresses * 2]
         n_channels = len(transport._channels)
-        together = await asyncio.gather(*(_exchange(transport, a) for a in addresses))
+        concurrent_results = await asyncio.gather(
+            *(_exchange(transport, a) for a in addresses)
+        )
         await transport.close()
         for server in servers:
             await server.close(0.0)
-        return n_channels, {DIGEST} == {*results, *together}
+        return n_channels, {DIGEST} == {*results, *concurrent_results}
 
     assert asyncio.run(scenario()) == (3, True)
