--- a/chestnuthall/adapters/callers/__init__.py
+++ b/chestnuthall/adapters/callers/__init__.py
@@ -1,4 +1,4 @@
-"""The HTTP interface towards callers and operators."""
+"""HTTP interface for callers and operators."""
 
 from chestnuthall.adapters.callers._admin import AdminRoutes
 from chestnuthall.adapters.callers._encode import encode_account, encode_outcome
--- a/chestnuthall/adapters/callers/_admin.py
+++ b/chestnuthall/adapters/callers/_admin.py
@@ -19,9 +19,9 @@
 
 
 class DrainModel(BaseModel):
-    """Body of ``POST /v1/admin/drain``: an instance or a replica.
+    """Body of ``POST /v1/admin/drain``: the name of an instance or a replica.
 
-    ``drain`` false ends the drain of a replica.
+    If ``drain`` is false, the drain of the replica is ended.
     """
 
     model_config = ConfigDict(extra="forbid", frozen=True)
@@ -40,7 +40,7 @@
 
 
 class AdminRoutes:
-    """Turns operators' HTTP requests into calls of the administration."""
+    """Dispatches HTTP requests of operators to the administration service."""
 
     def __init__(self, administration: InstanceAdministration) -> None:
         self._administration = administration
@@ -73,8 +73,8 @@
         return None
 
     async def _serve_quarantines(self, request: HttpRequest) -> HttpResponse:
-        views = self._administration.quarantines()
-        return _respond({"quarantines": [asdict(view) for view in views]})
+        statuses = self._administration.quarantines()
+        return _respond({"quarantines": [asdict(item) for item in statuses]})
 
     async def _serve_lift(self, request: HttpRequest) -> HttpResponse:
         fingerprints = parse_qs(request.query).get("fingerprint", [])
--- a/chestnuthall/adapters/callers/_encode.py
+++ b/chestnuthall/adapters/callers/_encode.py
@@ -1,4 +1,4 @@
-"""JSON texts of answers, refusals and accounts."""
+"""JSON encoding of answers, refusals and accounts."""
 
 import json
 from dataclasses import asdict
@@ -13,15 +13,15 @@
 _JSON = {b"content-type": b"application/json"}
 
 
-def _plain(value: object) -> object:
+def _encode_enum(value: object) -> object:
     if isinstance(value, Enum):
         return value.value
     raise TypeError(f"cannot encode {type(value).__name__}")
 
 
 def encode_json(value: object) -> bytes:
-    """Return compact JSON; enumerations become their values."""
-    return json.dumps(value, default=_plain, separators=(",", ":")).encode()
+    """Return compact JSON; enumeration members are encoded as their values."""
+    return json.dumps(value, default=_encode_enum, separators=(",", ":")).encode()
 
 
 def encode_account(account: Account) -> dict[str, object]:
@@ -35,7 +35,7 @@
 
 @singledispatch
 def encode_outcome(outcome: object) -> HttpResponse:
-    """Return the HTTP response of an outcome; registered per type."""
+    """Return the HTTP response for an outcome; dispatches on its type."""
     raise TypeError(f"not an outcome: {type(outcome).__name__}")
 
 
--- a/chestnuthall/adapters/callers/_frontend.py
+++ b/chestnuthall/adapters/callers/_frontend.py
@@ -26,7 +26,7 @@
 
 
 class CallerFrontend:
-    """Turns HTTP requests into requests of the query service."""
+    """Dispatches HTTP requests to the services of an instance."""
 
     def __init__(
         self,
@@ -100,7 +100,7 @@
 
 
 def respond_to_http_error(status: int, reason: str) -> HttpResponse:
-    """Return the response to a message that h11 rejected."""
+    """Return the response to a request that the HTTP server failed to serve."""
     if status == 413:
         return encode_outcome(BODY_TOO_LARGE.because(reason))
     if status >= 500:
--- a/chestnuthall/adapters/callers/_models.py
+++ b/chestnuthall/adapters/callers/_models.py
@@ -1,4 +1,4 @@
-"""Bodies that callers send."""
+"""Validated models of the request bodies that callers send."""
 
 from functools import singledispatch
 from hashlib import sha256
@@ -42,7 +42,7 @@
 
 
 class MutationModel(_RequestModel):
-    """Body of ``POST /v1/mutate``; the key is made by the caller."""
+    """Body of ``POST /v1/mutate``; the caller generates the idempotency key."""
 
     key: Annotated[str, Field(min_length=1, max_length=512)]
     payload: Annotated[str, Field(max_length=65_536)] = ""
@@ -58,10 +58,10 @@
 
 
 def read_request(path: str, body: bytes, now_ms: float) -> Request | Failure:
-    """Check a body and return the request; ``now_ms`` is its arrival.
+    """Validate a body and return the request; ``now_ms`` is its arrival time.
 
-    Without a deadline of its own the request has ``DEADLINE_MAX_MS``; the
-    service bounds it by the deadline of the class.
+    A request without a deadline gets ``DEADLINE_MAX_MS``; the service limits it to
+    the deadline of its class.
     """
     model_type = _MODELS.get(path)
     if model_type is None:
@@ -69,32 +69,32 @@
     try:
         model = model_type.model_validate_json(body)
     except ValidationError as error:
-        return INVALID_REQUEST.because(_describe(error))
+        return INVALID_REQUEST.because(_describe_errors(error))
     timeout_ms = DEADLINE_MAX_MS if model.deadline_ms is None else model.deadline_ms
-    return _to_core(model, now_ms, now_ms + timeout_ms)
+    return _to_request(model, now_ms, now_ms + timeout_ms)
 
 
-def _describe(error: ValidationError) -> str:
-    parts = []
+def _describe_errors(error: ValidationError) -> str:
+    messages = []
     for item in error.errors():
-        place = ".".join(str(part) for part in item["loc"]) or "body"
-        parts.append(f"{place}: {item['msg']}")
-    return "; ".join(parts)
+        location = ".".join(str(element) for element in item["loc"]) or "body"
+        messages.append(f"{location}: {item['msg']}")
+    return "; ".join(messages)
 
 
-def _fingerprint(*parts: str) -> str:
-    return sha256("\0".join(parts).encode()).hexdigest()[:16]
+def _fingerprint(*content: str) -> str:
+    return sha256("\0".join(content).encode()).hexdigest()[:16]
 
 
 @singledispatch
-def _to_core(model: _RequestModel, now_ms: float, deadline_ms: float) -> Request:
+def _to_request(model: _RequestModel, now_ms: float, deadline_ms: float) -> Request:
     raise TypeError(f"not a request body: {type(model).__name__}")
 
 
 def _common_fields(
     model: _RequestModel, now_ms: float, deadline_ms: float, *content: str
 ) -> dict[str, Any]:
-    """Return the fields that all kinds share; ``content`` makes the fingerprint."""
+    """Return the fields of all requests; ``content`` is hashed as the fingerprint."""
     return {
         "request_id": model.request_id,
         "class_name": model.class_name,
@@ -105,19 +105,19 @@
     }
 
 
-@_to_core.register
+@_to_request.register
 def _(model: SearchModel, now_ms: float, deadline_ms: float) -> Request:
     common = _common_fields(model, now_ms, deadline_ms, "search", model.query)
     return SearchRequest(**common, query=model.query, n_hits_max=model.n_hits_max)
 
 
-@_to_core.register
+@_to_request.register
 def _(model: LookupModel, now_ms: float, deadline_ms: float) -> Request:
     common = _common_fields(model, now_ms, deadline_ms, "lookup", model.key)
     return LookupRequest(**common, key=model.key)
 
 
-@_to_core.register
+@_to_request.register
 def _(model: MutationModel, now_ms: float, deadline_ms: float) -> Request:
     content = ("mutation", model.key, model.payload)
     return MutationRequest(
