--- a/chestnuthall/adapters/feeds/__init__.py
+++ b/chestnuthall/adapters/feeds/__init__.py
@@ -1,4 +1,4 @@
-"""Objects of the store that instances hand one another, over HTTP."""
+"""Transfer of store objects between instances over HTTP."""
 
 from chestnuthall.adapters.feeds._client import HttpPeerFeeds
 from chestnuthall.adapters.feeds._server import FeedFrontend
--- a/chestnuthall/adapters/feeds/_client.py
+++ b/chestnuthall/adapters/feeds/_client.py
@@ -1,10 +1,10 @@
-"""Peer feeds port over HTTP."""
+"""Feed client port over HTTP."""
 
 import asyncio
 from urllib.parse import quote
 
 from chestnuthall.adapters.feeds._models import decode_batch
-from chestnuthall.adapters.feeds._server import AGE_MS, AGE_MS_MAX, FEED_PATH
+from chestnuthall.adapters.feeds._server import AGE_MS_HEADER, AGE_MS_MAX, FEED_PATH
 from chestnuthall.adapters.http import (
     ConnectionPool,
     HttpRequest,
@@ -20,16 +20,17 @@
 )
 from chestnuthall.ports import FeedAnswer
 
-# Time that a peer may add to the wait that a watch asks for.
+# Time that a peer may take to respond in addition to the requested wait.
 WATCH_MARGIN_MS = 400.0
-# A peer in the same region accepts within a few ms; a dark one does not.
+# A peer in the same region accepts a connection within a few ms, an unreachable one
+# does not.
 CONNECT_TIMEOUT_MS = 100.0
 # One for each kind that is watched, and one for a snapshot.
 N_CONNECTIONS_MAX = 4
 
 
 class HttpPeerFeeds:
-    """Reads the feeds of peers at their addresses."""
+    """Reads the feeds of peers, which are identified by their addresses."""
 
     def __init__(self, probes: KeepAliveProbes | None = None) -> None:
         self._probes = probes
@@ -54,39 +55,39 @@
     async def watch(
         self, address: str, kind: str, after_version: int, timeout_ms: float
     ) -> FeedAnswer | Failure:
-        """Wait for changes after a version; an empty batch on timeout."""
+        """Wait for changes after a version; return an empty batch on timeout."""
         query = f"?after={after_version}&wait_ms={timeout_ms:.0f}"
         response = await self._exchange(
-            address, _path(kind) + query, timeout_ms + WATCH_MARGIN_MS
+            address, _feed_path(kind) + query, timeout_ms + WATCH_MARGIN_MS
         )
         if isinstance(response, Failure):
             return response
         if response.status == 410:
-            return HISTORY_TRIMMED.because("the peer keeps no changes so old")
-        return _read(kind, response)
+            return HISTORY_TRIMMED.because("the peer no longer keeps changes that old")
+        return _decode_response(kind, response)
 
     async def snapshot(
         self, address: str, kind: str, timeout_ms: float
     ) -> FeedAnswer | Failure:
         """Return all objects of a kind, whatever their age."""
-        response = await self._exchange(address, _path(kind), timeout_ms)
+        response = await self._exchange(address, _feed_path(kind), timeout_ms)
         if isinstance(response, Failure):
             return response
-        return _read(kind, response)
+        return _decode_response(kind, response)
 
     async def _exchange(
         self, address: str, target: str, timeout_ms: float
     ) -> HttpResponse | Failure:
         pool = self._pool(address)
-        ends_at_s = asyncio.get_running_loop().time() + timeout_ms / 1000.0
+        deadline_s = asyncio.get_running_loop().time() + timeout_ms / 1000.0
         connection = await pool.acquire(timeout_ms)
         if isinstance(connection, Failure):
             return STORE_UNAVAILABLE.because(connection.reason)
         try:
-            async with asyncio.timeout_at(ends_at_s):
+            async with asyncio.timeout_at(deadline_s):
                 response = await connection.request(HttpRequest("GET", target))
         except TimeoutError:
-            # The late answer would be taken for that of the next request.
+            # The late response would be read as the response to the next request.
             connection.close()
             return STORE_UNAVAILABLE.because("the peer did not answer in time")
         finally:
@@ -96,20 +97,22 @@
         return response
 
 
-def _path(kind: str) -> str:
+def _feed_path(kind: str) -> str:
     return FEED_PATH + quote(kind, safe="")
 
 
-def _read(kind: str, response: HttpResponse) -> FeedAnswer | Failure:
+def _decode_response(kind: str, response: HttpResponse) -> FeedAnswer | Failure:
     if response.status == 503:
-        return NOT_READY.because("the peer has no news of the store")
+        return NOT_READY.because("the peer has no current data from the store")
     if response.status != 200:
-        return STORE_UNAVAILABLE.because(f"the peer answered {response.status}")
+        return STORE_UNAVAILABLE.because(
+            f"the peer answered with status {response.status}"
+        )
     batch = decode_batch(kind, response.body)
     if isinstance(batch, Failure):
         return batch
     try:
-        age_ms = float(response.headers.get(AGE_MS, b""))
+        age_ms = float(response.headers.get(AGE_MS_HEADER, b""))
     except ValueError:
         age_ms = AGE_MS_MAX
     return FeedAnswer(batch, age_ms)
--- a/chestnuthall/adapters/feeds/_models.py
+++ b/chestnuthall/adapters/feeds/_models.py
@@ -1,4 +1,4 @@
-"""Bodies of feeds: JSON, compressed, since one is sent to many peers."""
+"""Bodies of feeds: JSON, compressed because each body is sent to many peers."""
 
 import json
 import zlib
@@ -8,10 +8,10 @@
 from chestnuthall.core.results import STORE_UNAVAILABLE, Failure
 from chestnuthall.ports import StoredObject, WatchBatch
 
-# Documents compress to about a tenth; the fastest level costs 3 ms for 300 KB.
+# Documents compress to about a tenth; the fastest level takes 3 ms for 300 KB.
 COMPRESSION_LEVEL = 1
-# Longest body that a peer may send, unpacked; a few times the store's objects.
-N_BYTES_MAX = 16 * 1024 * 1024
+# Limit of a decompressed body; a few times the size of the store's objects.
+N_DECOMPRESSED_BYTES_MAX = 16 * 1024 * 1024
 
 
 class _Object(BaseModel):
@@ -31,7 +31,7 @@
 
 
 def encode_batch(batch: WatchBatch) -> bytes:
-    """Return the body for changes, or for all objects at a version."""
+    """Return the body that encodes changes, or all objects at a version."""
     value = {
         "version": batch.version,
         "changed": [
@@ -44,12 +44,12 @@
 
 
 def decode_batch(kind: str, body: bytes) -> WatchBatch | Failure:
-    """Return the changes of a body, or why it cannot be read."""
+    """Decode a body; return a failure if it is invalid."""
     try:
-        unpacked = zlib.decompressobj().decompress(body, N_BYTES_MAX)
-        batch = _Batch.model_validate_json(unpacked)
+        decompressed = zlib.decompressobj().decompress(body, N_DECOMPRESSED_BYTES_MAX)
+        batch = _Batch.model_validate_json(decompressed)
     except (zlib.error, ValidationError) as error:
-        return STORE_UNAVAILABLE.because(f"invalid feed of a peer: {error!s:.100}")
+        return STORE_UNAVAILABLE.because(f"invalid feed from a peer: {error!s:.100}")
     changed = tuple(
         StoredObject(kind, item.name, item.version, item.value, batch.version)
         for item in batch.changed
--- a/chestnuthall/adapters/feeds/tests/test_contract.py
+++ b/chestnuthall/adapters/feeds/tests/test_contract.py
@@ -1,4 +1,8 @@
-"""Guards the form of feeds between instances, on real sockets."""
+"""Contract tests of feeds between instances, on real sockets.
+
+Guards against changes that differ after the transfer, and against a peer without a
+usable feed that is not reported as a failure.
+"""
 
 import asyncio
 
@@ -17,7 +21,9 @@
 OBJECT = StoredObject("k/1", "näme", 7, '{"a": 1}', 9)
 
 
-class Source:
+class FixedSource:
+    """Feed source that always returns the same result."""
+
     def __init__(self, result):
         self.result = result
 
@@ -28,12 +34,12 @@
         return self.result
 
 
-async def ask(frontend, use):
+async def with_feed_server(frontend, use_feeds):
     server = HttpServer(frontend)
     port = await server.start("127.0.0.1", 0)
     feeds = HttpPeerFeeds()
     try:
-        return await use(feeds, f"127.0.0.1:{port}")
+        return await use_feeds(feeds, f"127.0.0.1:{port}")
     finally:
         feeds.close()
         await server.close()
@@ -47,9 +53,9 @@
     ("changes", CHANGES, CHANGES),
     ("nothing", NOTHING, NOTHING),
     ("never confirmed", NEVER_CONFIRMED, FeedAnswer(WatchBatch(9, ()), 1e9)),
-    ("history", HISTORY_TRIMMED.because("x"), HISTORY_TRIMMED),
-    ("no news", STORE_UNAVAILABLE.because("x"), NOT_READY),
-    ("not shared", None, NOT_READY),
+    ("history trimmed", HISTORY_TRIMMED.because("x"), HISTORY_TRIMMED),
+    ("store unavailable", STORE_UNAVAILABLE.because("x"), NOT_READY),
+    ("no feed", None, NOT_READY),
 ]
 
 
@@ -57,62 +63,66 @@
     ("result", "expected"), [c[1:] for c in WATCHES], ids=[c[0] for c in WATCHES]
 )
 def test_watch(result, expected):
-    source = None if result is None else Source(result)
+    source = None if result is None else FixedSource(result)
     frontend = FeedFrontend(lambda kind: source, lambda kind: None)
 
-    async def use(feeds, address):
+    async def use_feeds(feeds, address):
         return await feeds.watch(address, "k/1", 3, 50.0)
 
-    found = asyncio.run(ask(frontend.handle, use))
-    assert (found.kind if isinstance(found, Failure) else found) == expected
+    answer = asyncio.run(with_feed_server(frontend.handle, use_feeds))
+    assert (answer.kind if isinstance(answer, Failure) else answer) == expected
 
 
 def test_snapshot():
-    known = FeedAnswer(WatchBatch(9, (OBJECT,)), 700.0)
-    frontend = FeedFrontend(lambda kind: None, lambda kind: Source(known))
+    snapshot = FeedAnswer(WatchBatch(9, (OBJECT,)), 700.0)
+    frontend = FeedFrontend(lambda kind: None, lambda kind: FixedSource(snapshot))
 
-    async def use(feeds, address):
+    async def use_feeds(feeds, address):
         return await feeds.snapshot(address, "k/1", 500.0)
 
-    assert asyncio.run(ask(frontend.handle, use)) == known
+    assert asyncio.run(with_feed_server(frontend.handle, use_feeds)) == snapshot
 
 
-async def silent(request):
+async def never_respond(request):
     await asyncio.sleep(5.0)
 
 
-async def garbage(request):
+async def respond_with_invalid_body(request):
     return HttpResponse(200, {}, b"no feed")
 
 
-async def refuse(request):
+async def respond_with_error(request):
     return HttpResponse(500)
 
 
-# (case, what the peer does)
-BAD_PEERS = [("silent", silent), ("garbage", garbage), ("error", refuse)]
+# (case, request handler of the peer)
+FAULTY_PEERS = [
+    ("unresponsive", never_respond),
+    ("invalid body", respond_with_invalid_body),
+    ("error status", respond_with_error),
+]
 
 
 @pytest.mark.parametrize(
-    "respond", [c[1] for c in BAD_PEERS], ids=[c[0] for c in BAD_PEERS]
+    "respond", [c[1] for c in FAULTY_PEERS], ids=[c[0] for c in FAULTY_PEERS]
 )
-def test_peer_that_gives_no_feed(respond):
-    """An instance must turn to the store, and not take a crossed answer later."""
+def test_unusable_feed_is_reported(respond):
+    """The instance must get a failure in order to read the store, not a late reply."""
 
-    async def use(feeds, address):
+    async def use_feeds(feeds, address):
         first = await feeds.watch(address, "k", 3, 10.0)
         second = await feeds.snapshot(address, "k", 100.0)
         return first, second
 
-    for result in asyncio.run(ask(respond, use)):
+    for result in asyncio.run(with_feed_server(respond, use_feeds)):
         assert isinstance(result, Failure)
         assert result.kind is STORE_UNAVAILABLE
 
 
-def test_peer_that_is_gone():
-    async def use(feeds, address):
+def test_unreachable_peer_is_reported():
+    async def use_feeds(feeds, address):
         return await feeds.watch("127.0.0.1:9", "k", 3, 10.0)
 
-    result = asyncio.run(ask(refuse, use))
+    result = asyncio.run(with_feed_server(respond_with_error, use_feeds))
     assert isinstance(result, Failure)
     assert result.kind is STORE_UNAVAILABLE
