--- a/chestnuthall/adapters/searchapi/__init__.py
+++ b/chestnuthall/adapters/searchapi/__init__.py
@@ -1,4 +1,4 @@
-"""The product's own protocol towards upstreams; see ``docs/upstream-interface.md``."""
+"""The product's own protocol for upstreams; see ``docs/upstream-interface.md``."""
 
 from chestnuthall.adapters.searchapi._caller import SearchCaller
 from chestnuthall.adapters.searchapi._codec import (
--- a/chestnuthall/adapters/searchapi/_caller.py
+++ b/chestnuthall/adapters/searchapi/_caller.py
@@ -10,7 +10,7 @@
 
 
 class SearchCaller(HttpShardCaller):
-    """Calls replicas, and asks them for partition maps and health."""
+    """Calls replicas and requests their partition maps and health reports."""
 
     def __init__(self, clock: Clock, pool_settings: PoolSettings | None = None) -> None:
         super().__init__(clock, SearchCodec(), pool_settings)
@@ -30,7 +30,7 @@
     async def check_health(
         self, group: str, replica: Replica, timeout_ms: float
     ) -> bool | Failure:
-        """Return whether the replica says that it drains."""
+        """Return whether the replica reports that it is draining."""
         request = HttpRequest("GET", "/v1/health")
         response = await self.exchange(replica, group, request, timeout_ms)
         if isinstance(response, Failure):
--- a/chestnuthall/adapters/searchapi/_codec.py
+++ b/chestnuthall/adapters/searchapi/_codec.py
@@ -35,12 +35,13 @@
 DRAINING: Final = b"x-draining"
 NOT_STARTED: Final = b"x-not-started"
 
-# Queries whose shard calls overlap; a query makes its calls close together.
+# Limit of concurrent queries whose request bodies are cached; a query makes its
+# shard calls close together.
 N_BODIES_CACHED: Final = 64
 
 
 class _AnswerModel(BaseModel):
-    """Body of a shard answer; a hit is its key, score and record."""
+    """Body of a shard answer; a hit is a list of key, score and record."""
 
     model_config = ConfigDict(extra="ignore", frozen=True)
 
@@ -49,7 +50,7 @@
 
 
 class _HealthModel(BaseModel):
-    """Body of a health report; unknown fields are the upstream's."""
+    """Body of a health report; other fields of the upstream are ignored."""
 
     model_config = ConfigDict(extra="ignore", frozen=True)
 
@@ -57,42 +58,42 @@
 
 
 @singledispatch
-def _path_of(request: Request) -> str:
+def _request_path(request: Request) -> str:
     raise TypeError(f"not a request: {type(request).__name__}")
 
 
-@_path_of.register
+@_request_path.register
 def _(request: SearchRequest) -> str:
     return "/v1/shard/search"
 
 
-@_path_of.register
+@_request_path.register
 def _(request: LookupRequest) -> str:
     return "/v1/shard/lookup"
 
 
-@_path_of.register
+@_request_path.register
 def _(request: MutationRequest) -> str:
     return "/v1/shard/mutate"
 
 
 @singledispatch
-def _body_of(request: Request) -> bytes:
+def _encode_body(request: Request) -> bytes:
     raise TypeError(f"not a request: {type(request).__name__}")
 
 
-@_body_of.register
+@_encode_body.register
 def _(request: SearchRequest) -> bytes:
     body = {"query": request.query, "n_hits_max": request.n_hits_max}
     return json.dumps(body, separators=(",", ":")).encode()
 
 
-@_body_of.register
+@_encode_body.register
 def _(request: LookupRequest) -> bytes:
     return json.dumps({"key": request.key}, separators=(",", ":")).encode()
 
 
-@_body_of.register
+@_encode_body.register
 def _(request: MutationRequest) -> bytes:
     body = {
         "key": request.key,
@@ -103,13 +104,13 @@
 
 
 @lru_cache(maxsize=N_BODIES_CACHED)
-def _cached_body_of(request: Request) -> bytes:
-    """Return the body of a request, which is the same for all its shards."""
-    return _body_of(request)
+def _encode_body_cached(request: Request) -> bytes:
+    """Return the body of a request, which is the same for all shards."""
+    return _encode_body(request)
 
 
 class SearchCodec:
-    """The protocol of ``docs/upstream-interface.md``."""
+    """Codec of the protocol in ``docs/upstream-interface.md``."""
 
     closes_to_cancel = False
 
@@ -120,11 +121,11 @@
     def read_answer(
         self, call: ShardCall, response: HttpResponse
     ) -> ShardAnswer | Failure:
-        """Return the answer of a call, or why the response is none."""
+        """Return the answer to a call, or a failure if the response is not one."""
         return read_answer(call, response)
 
     def encode_cancel(self, call: ShardCall) -> HttpRequest | None:
-        """Return the request that cancels a call that may run more than once."""
+        """Return the request that cancels a call; None if it is not idempotent."""
         if not is_idempotent(call.request):
             return None
         return HttpRequest("POST", "/v1/cancel", {CALL_ID: call.call_id.encode()})
@@ -140,21 +141,23 @@
         DEADLINE_MS: b"%.1f" % remaining_ms,
     }
     return HttpRequest(
-        "POST", _path_of(call.request), headers, _cached_body_of(call.request)
+        "POST", _request_path(call.request), headers, _encode_body_cached(call.request)
     )
 
 
 def read_answer(call: ShardCall, response: HttpResponse) -> ShardAnswer | Failure:
-    """Return the answer of a call, or why the response is none."""
+    """Return the answer to a call, or a failure if the response is not one."""
     headers = response.headers
     if headers.get(CALL_ID, b"").decode("latin-1") != call.call_id:
         return CALL_MISMATCH.because("the response echoes another call id")
     if response.status != 200:
-        return _failure_of_status(response)
+        return _failure_from_status(response)
     try:
         model = _AnswerModel.model_validate_json(response.body)
         snapshot_id = int(headers.get(SNAPSHOT_ID, b""))
-        held = tuple(int(item) for item in headers.get(HELD_SNAPSHOTS, b"").split())
+        held_snapshots = tuple(
+            int(item) for item in headers.get(HELD_SNAPSHOTS, b"").split()
+        )
     except (ValidationError, ValueError):
         return UPSTREAM_ERROR.because("the response is not a shard answer")
     return ShardAnswer(
@@ -163,12 +166,12 @@
         snapshot_id=snapshot_id,
         hits=tuple(Hit(*item) for item in model.hits),
         n_documents_searched=model.n_documents_searched,
-        held_snapshots=held,
+        held_snapshots=held_snapshots,
         is_draining=headers.get(DRAINING) == b"1",
     )
 
 
-def _failure_of_status(response: HttpResponse) -> Failure:
+def _failure_from_status(response: HttpResponse) -> Failure:
     if response.status == 409:
         return SNAPSHOT_GONE.because("the replica does not hold the snapshot")
     if response.status == 503 and response.headers.get(NOT_STARTED) == b"1":
@@ -181,7 +184,7 @@
 
 
 def read_health(response: HttpResponse) -> bool | Failure:
-    """Return whether a health report says draining."""
+    """Return whether a health report says that the replica is draining."""
     try:
         return _HealthModel.model_validate_json(response.body).draining
     except ValidationError:
--- a/chestnuthall/adapters/searchapi/tests/test_contract.py
+++ b/chestnuthall/adapters/searchapi/tests/test_contract.py
@@ -1,4 +1,8 @@
-"""Contract of the shard caller port, on real sockets with the upstream stand-in."""
+"""Contract tests of the shard caller port with the upstream stand-in on real sockets.
+
+Guards against answers that reach the wrong call, and against failures whose kind is
+wrong about whether the replica can have begun the call.
+"""
 
 import asyncio
 
@@ -63,7 +67,7 @@
     )
 
 
-async def with_upstream(use, **behaviour):
+async def with_upstream(use_caller, **behaviour):
     server = UpstreamServer(
         "r", "z", UpstreamBehaviour(**{"service_ms": 5.0, **behaviour})
     )
@@ -72,7 +76,7 @@
     caller = SearchCaller(LoopClock())
     caller.set_connection_budget("g", 2)
     try:
-        return await use(caller, server, f"127.0.0.1:{port}")
+        return await use_caller(caller, server, f"127.0.0.1:{port}")
     finally:
         caller.close()
         await server.close()
@@ -81,29 +85,29 @@
 @pytest.mark.parametrize(
     ("behaviour", "changes", "expected"),
     [
-        pytest.param({}, {}, 4, id="whole"),
+        pytest.param({}, {}, 4, id="complete"),
         pytest.param({"n_short_answers": 1}, {}, 2, id="stopped-early"),
-        pytest.param({"n_duplicate_answers": 1}, {}, 4, id="sent-twice"),
-        pytest.param({"n_crossed_answers": 1}, {}, CALL_MISMATCH, id="crossed"),
+        pytest.param({"n_duplicate_answers": 1}, {}, 4, id="duplicate"),
+        pytest.param({"n_crossed_answers": 1}, {}, CALL_MISMATCH, id="other-call-id"),
         pytest.param({"n_truncated_answers": 1}, {}, ANSWER_CUT, id="truncated"),
-        pytest.param({"n_lost_answers": 1}, {}, CALL_TIMED_OUT, id="never-answered"),
+        pytest.param({"n_lost_answers": 1}, {}, CALL_TIMED_OUT, id="no-answer"),
         pytest.param({"is_shedding": True}, {}, SHED_BY_UPSTREAM, id="shed"),
         pytest.param({}, {"snapshot_id": 7}, SNAPSHOT_GONE, id="snapshot-gone"),
-        pytest.param({}, {"timeout_ms": -1.0}, NO_REPLICA, id="too-late-to-connect"),
+        pytest.param({}, {"timeout_ms": -1.0}, NO_REPLICA, id="no-time-to-connect"),
         pytest.param({"slow_factor": 500.0}, {}, CALL_TIMED_OUT, id="straggler"),
     ],
 )
-def test_result_of_each_fault(behaviour, changes, expected):
-    """The next call on the same pool must get its own whole answer."""
+def test_fault_results(behaviour, changes, expected):
+    """The next call on the same pool must get its own, complete answer."""
 
-    async def use(caller, server, address):
+    async def use_caller(caller, server, address):
         clock = LoopClock()
         first = await caller.call(make_call(1, address, clock.now_ms(), **changes))
         server.behaviour = UpstreamBehaviour(service_ms=1.0)
         second = await caller.call(make_call(2, address, clock.now_ms()))
         return first, second
 
-    first, second = asyncio.run(with_upstream(use, **behaviour))
+    first, second = asyncio.run(with_upstream(use_caller, **behaviour))
     found = first.kind if isinstance(first, Failure) else first.n_documents_searched
     assert found == expected
     assert isinstance(second, ShardAnswer)
@@ -111,7 +115,7 @@
     assert [hit.record[-2:] for hit in second.hits] == ["@1", "@1"]
 
 
-def test_refused_connection_was_not_run():
+def test_refused_connection_is_reported():
     async def scenario():
         caller = SearchCaller(LoopClock())
         call = make_call(1, "127.0.0.1:1", LoopClock().now_ms())
@@ -120,17 +124,17 @@
     assert asyncio.run(scenario()).kind is CONNECTION_REFUSED
 
 
-def test_paused_process_writes_nothing_after_the_deadline():
-    """A process that resumes late must not dispatch what its caller gave up."""
+def test_nothing_is_sent_after_the_deadline():
+    """A process that resumes after a stall must not send calls that have expired."""
 
-    async def use(caller, server, address):
+    async def use_caller(caller, server, address):
         clock = LoopClock()
         await caller.call(make_call(1, address, clock.now_ms()))
         late = make_call(2, address, clock.now_ms() - 1000.0, kind="mutation")
         result = await caller.call(late)
         return result, server.mutations
 
-    result, mutations = asyncio.run(with_upstream(use))
+    result, mutations = asyncio.run(with_upstream(use_caller))
     assert result.kind is DEADLINE_PASSED
     assert mutations == []
 
@@ -143,9 +147,9 @@
     ],
 )
 def test_cancelled_call(kind, n_cancelled):
-    """A loser is cancelled upstream; a mutation never is, once it was written."""
+    """A search is cancelled at the upstream; a mutation that was sent never is."""
 
-    async def use(caller, server, address):
+    async def use_caller(caller, server, address):
         clock = LoopClock()
         task = asyncio.ensure_future(
             caller.call(make_call(1, address, clock.now_ms(), kind=kind))
@@ -157,15 +161,15 @@
         second = await caller.call(make_call(2, address, clock.now_ms()))
         return server.n_cancelled, second
 
-    n_seen, second = asyncio.run(with_upstream(use, service_ms=100.0))
-    assert n_seen == n_cancelled
+    n_received, second = asyncio.run(with_upstream(use_caller, service_ms=100.0))
+    assert n_received == n_cancelled
     assert isinstance(second, ShardAnswer)
 
 
 def test_connection_budget_holds_under_load():
-    """The upstream's connection cap must hold while many calls wait."""
+    """The connection limit of the upstream must hold while many calls wait."""
 
-    async def use(caller, server, address):
+    async def use_caller(caller, server, address):
         clock = LoopClock()
         results = await asyncio.gather(
             *(
@@ -175,20 +179,20 @@
         )
         return results, server
 
-    results, server = asyncio.run(with_upstream(use, n_queued_max=64))
+    results, server = asyncio.run(with_upstream(use_caller, n_queued_max=64))
     assert all(isinstance(item, ShardAnswer) for item in results)
     assert server._server.n_connections_peak <= 2
 
 
 def test_partition_map_is_read_from_a_replica():
-    async def use(caller, server, address):
+    async def use_caller(caller, server, address):
         server.partition_map_text = (
             '{"group":"g","snapshot_id":3,"shards":[{"shard_id":"s0","start":"",'
             '"end":"","n_documents":4,"replicas":[]}]}'
         )
         return await caller.fetch_partition_map(Replica("r", address, "z"), 500.0)
 
-    found = asyncio.run(with_upstream(use))
+    found = asyncio.run(with_upstream(use_caller))
     assert isinstance(found, PartitionMap)
     assert found.snapshot_id == 3
 
@@ -196,8 +200,8 @@
 @pytest.mark.parametrize(
     ("header", "is_draining"), [(b"1", True), (b"0", False), (None, False)]
 )
-def test_draining_mark_of_an_answer_is_read(header, is_draining):
-    """An upstream says first in its answers that it leaves."""
+def test_draining_header_of_an_answer_is_read(header, is_draining):
+    """The answers of an upstream are the first to show that it is draining."""
     call = make_call(1, "127.0.0.1:1", 0.0)
     headers = {b"x-call-id": b"q1.1", b"x-snapshot-id": b"1", b"x-shard-id": b"s0"}
     if header is not None:
