--- a/chestnuthall/adapters/instances/__init__.py
+++ b/chestnuthall/adapters/instances/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' interface of instances over HTTP/1.1, as a client."""
+"""Client of the operators' HTTP interface of instances."""
 
 from chestnuthall.adapters.instances._client import HttpInstanceAdmin
 
--- a/chestnuthall/adapters/instances/_client.py
+++ b/chestnuthall/adapters/instances/_client.py
@@ -1,4 +1,4 @@
-"""Instance administration port on the operators' HTTP interface."""
+"""Instance administration port over the operators' HTTP interface."""
 
 import asyncio
 import json
@@ -21,7 +21,7 @@
 
 
 class _Model(BaseModel):
-    # A newer instance may say more than this tool knows.
+    # A newer instance may send fields that this client does not know.
     model_config = ConfigDict(extra="ignore", frozen=True)
 
 
@@ -52,7 +52,7 @@
         )
 
 
-class _AnnouncedModel(_Model):
+class _RevisionModel(_Model):
     configuration_revision: int
 
 
@@ -85,16 +85,16 @@
 
 
 class HttpInstanceAdmin:
-    """Asks instances by their address, with one connection per request."""
+    """Sends requests to instances by address, with one connection per request."""
 
     async def status(self, address: str, timeout_ms: float) -> InstanceStatus | Failure:
         """Return the status of an instance."""
         request = HttpRequest("GET", "/v1/admin/status")
-        read = await self._ask(address, request, _StatusModel, timeout_ms)
-        return read if isinstance(read, Failure) else read.to_port()
+        result = await self._request(address, request, _StatusModel, timeout_ms)
+        return result if isinstance(result, Failure) else result.to_port()
 
     async def upstream_state(self, address: str, timeout_ms: float) -> str | Failure:
-        """Return ready, draining or unwell, as an upstream itself says."""
+        """Return the state that an upstream reports: ready, draining or unwell."""
         request = HttpRequest("GET", "/v1/health")
         response = await _exchange(address, request, timeout_ms)
         if isinstance(response, Failure):
@@ -112,62 +112,65 @@
     ) -> int | Failure:
         """Offer an accepted configuration; return the revision then in force."""
         request = _post("/v1/admin/configuration", stored_text)
-        read = await self._ask(address, request, _AnnouncedModel, timeout_ms)
-        return read if isinstance(read, Failure) else read.configuration_revision
+        result = await self._request(address, request, _RevisionModel, timeout_ms)
+        return result if isinstance(result, Failure) else result.configuration_revision
 
     async def drain_instance(
         self, address: str, name: str, timeout_ms: float
     ) -> Failure | None:
-        """Let an instance leave; the name must be its own."""
+        """Start a graceful stop of the instance; the name must be its own."""
         return await self._drain(address, {"instance": name}, timeout_ms)
 
     async def drain_replica(
         self, address: str, name: str, timeout_ms: float
     ) -> Failure | None:
-        """Stop new calls to a replica; the instance tells its peers."""
+        """Stop new calls to a replica; the instance notifies its peers."""
         return await self._drain(address, {"replica": name}, timeout_ms)
 
     async def _drain(
         self, address: str, target: dict[str, str], timeout_ms: float
     ) -> Failure | None:
         request = _post("/v1/admin/drain", json.dumps(target))
-        read = await self._ask(address, request, _DrainedModel, timeout_ms)
-        return read if isinstance(read, Failure) else None
+        result = await self._request(address, request, _DrainedModel, timeout_ms)
+        return result if isinstance(result, Failure) else None
 
     async def quarantines(
         self, address: str, timeout_ms: float
     ) -> tuple[QuarantineEntry, ...] | Failure:
-        """Return the fingerprints that an instance suspects or refuses."""
+        """Return the fingerprints that an instance suspects or has quarantined."""
         request = HttpRequest("GET", "/v1/admin/quarantines")
-        read = await self._ask(address, request, _QuarantinesModel, timeout_ms)
-        if isinstance(read, Failure):
-            return read
+        result = await self._request(address, request, _QuarantinesModel, timeout_ms)
+        if isinstance(result, Failure):
+            return result
         return tuple(
             QuarantineEntry(
-                x.fingerprint, x.replica_names, x.expires_in_ms, x.is_quarantined
+                item.fingerprint,
+                item.replica_names,
+                item.expires_in_ms,
+                item.is_quarantined,
             )
-            for x in read.quarantines
+            for item in result.quarantines
         )
 
     async def lift_quarantine(
         self, address: str, fingerprint: str, timeout_ms: float
     ) -> bool | Failure:
-        """Forget a fingerprint; return whether the instance knew it."""
+        """Lift the quarantine of a fingerprint; return False if there was none."""
         target = f"/v1/admin/quarantines?fingerprint={quote(fingerprint, safe='')}"
         request = HttpRequest("DELETE", target)
-        read = await self._ask(address, request, _LiftedModel, timeout_ms)
-        if isinstance(read, Failure):
-            return False if read.kind is NOT_FOUND else read
-        return read.lifted == fingerprint
+        result = await self._request(address, request, _LiftedModel, timeout_ms)
+        if isinstance(result, Failure):
+            return False if result.kind is NOT_FOUND else result
+        return result.lifted == fingerprint
 
-    async def _ask(
+    async def _request(
         self, address: str, request: HttpRequest, model: type[Model], timeout_ms: float
     ) -> Model | Failure:
         response = await _exchange(address, request, timeout_ms)
         if isinstance(response, Failure):
             return response
         if response.status != 200:
-            return _failure_of(response)
+            return _failure_from_response(response)
         try:
             return model.model_validate_json(response.body)
         except ValidationError:
@@ -179,7 +182,7 @@
     return HttpRequest("POST", target, headers, text.encode())
 
 
-def _failure_of(response: HttpResponse) -> Failure:
+def _failure_from_response(response: HttpResponse) -> Failure:
     try:
         model = _FailureModel.model_validate_json(response.body)
     except ValidationError:
