--- a/chestnuthall/adapters/http/_pool.py
+++ b/chestnuthall/adapters/http/_pool.py
@@ -18,7 +18,7 @@
 
     n_connections_max: int = 4
     connect_timeout_ms: float = 1_000.0
-    # Number of connections opened in advance; None stands for n_connections_max.
+    # Number of connections opened in advance; None means n_connections_max.
     n_warm: int | None = None
     # Idle connections in excess of ``n_idle_kept`` are closed after this time; with
     # None they stay open.
