--- a/chestnuthall/adapters/objectapi/__init__.py
+++ b/chestnuthall/adapters/objectapi/__init__.py
@@ -1,4 +1,4 @@
-"""Client of the platform's object API."""
+"""HTTP client of the platform's object API."""
 
 from chestnuthall.adapters.objectapi._client import HttpObjectStore
 from chestnuthall.adapters.objectapi._dialect import (
--- a/chestnuthall/adapters/objectapi/_client.py
+++ b/chestnuthall/adapters/objectapi/_client.py
@@ -1,4 +1,4 @@
-"""Object store port on the platform's HTTP interface."""
+"""Object store port over the platform's HTTP API."""
 
 import asyncio
 from dataclasses import replace
@@ -20,19 +20,20 @@
 )
 from chestnuthall.ports import StoredObject, WatchBatch
 
-# A watch holds its connection while it waits; the rest serve short calls.
+# A watch occupies one connection while it waits; short calls use the others.
 N_CONNECTIONS_MAX = 16
-# Time that the platform may add to the wait that a watch asks for.
+# Time allowed for the response to a watch beyond the time-out that it requested.
 WATCH_MARGIN_MS = 1_000.0
-# A listing has at most so many pages, so that a store which always announces
-# another one cannot hold its reader for ever.
+# Maximum number of pages read per listing. A store that always announces another
+# page would otherwise keep the reader in an endless loop.
 N_PAGES_MAX = 1_000
 
 
 class HttpObjectStore:
-    """Object store at ``host:port``; the dialect encodes and decodes its calls.
+    """Client of the object store at ``address``, given as ``host:port``.
 
-    ``probes`` find a connection that has gone silent while a watch waits on it.
+    ``dialect`` encodes requests and decodes responses. ``probes`` are TCP keep-alive
+    probes, which detect that the peer has become unresponsive while a watch waits.
     """
 
     def __init__(
@@ -75,7 +76,8 @@
             page = self._dialect.read_list(kind, response)
             if isinstance(page, Failure):
                 return page
-            # A watch from the first page misses no change to the later ones.
+            # A watch that starts at the version of the first page also reports the
+            # changes made while the later pages were read.
             first_version = first_version or page.version
             listed += page.objects
             if not page.next_after:
@@ -83,7 +85,7 @@
                     replace(item, seen_version=first_version) for item in listed
                 )
             after = page.next_after
-        return STORE_UNAVAILABLE.because(f"the list of {kind!r} does not end")
+        return STORE_UNAVAILABLE.because(f"the list of {kind!r} has too many pages")
 
     async def create(
         self, kind: str, name: str, value: str, timeout_ms: float
@@ -130,14 +132,18 @@
     async def _exchange(
         self, request: HttpRequest, timeout_ms: float
     ) -> HttpResponse | Failure:
-        """Send one request; ``NO_REPLICA`` means that nothing was written."""
+        """Send one request and return its response.
+
+        After the failures ``NO_REPLICA`` and ``CONNECTION_REFUSED``, the request was
+        not sent, so that nothing was written.
+        """
         loop = asyncio.get_running_loop()
-        ends_at_s = loop.time() + timeout_ms / 1000.0
+        deadline_s = loop.time() + timeout_ms / 1000.0
         connection = await self._pool.acquire(timeout_ms)
         if isinstance(connection, Failure):
             return connection
         try:
-            async with asyncio.timeout_at(ends_at_s):
+            async with asyncio.timeout_at(deadline_s):
                 return await connection.request(request)
         except TimeoutError:
             return STORE_WRITE_UNKNOWN.because("the store did not answer in time")
--- a/chestnuthall/adapters/objectapi/_dialect.py
+++ b/chestnuthall/adapters/objectapi/_dialect.py
@@ -1,4 +1,4 @@
-"""How the calls of the object store are put into HTTP messages."""
+"""Encoding of object store calls as HTTP requests and decoding of the responses."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -23,8 +23,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ListPage:
-    """Part of a listing; ``next_after`` asks for the next one, empty at the end.
+    """One page of a listing.
 
+    ``next_after`` is the cursor of the next page, empty on the last page.
     ``version`` is the store's version when the page was read, 0 if unknown.
     """
 
@@ -41,7 +42,7 @@
         ...
 
     def list_kind(self, kind: str, after: str) -> HttpRequest:
-        """Return the request for the page of objects after a name."""
+        """Return the request for the page of objects after the cursor ``after``."""
         ...
 
     def create(self, kind: str, name: str, value: str) -> HttpRequest:
@@ -49,11 +50,11 @@
         ...
 
     def update(self, kind: str, name: str, value: str, version: int) -> HttpRequest:
-        """Return the request that replaces an object of a version."""
+        """Return the request that replaces an object if it has this version."""
         ...
 
     def delete(self, kind: str, name: str, version: int) -> HttpRequest:
-        """Return the request that deletes an object of a version."""
+        """Return the request that deletes an object if it has this version."""
         ...
 
     def watch(self, kind: str, after_version: int, timeout_ms: float) -> HttpRequest:
@@ -63,24 +64,27 @@
     def read_object(
         self, kind: str, name: str, response: HttpResponse
     ) -> StoredObject | Failure:
-        """Return the object that was read."""
+        """Decode the response to the read of one object."""
         ...
 
     def read_list(self, kind: str, response: HttpResponse) -> ListPage | Failure:
-        """Return a page of a listing."""
+        """Decode the response to the request for a page of a listing."""
         ...
 
     def read_written(self, kind: str, response: HttpResponse) -> StoredObject | Failure:
-        """Return the object written, or what is known about the write."""
+        """Decode the response to a write.
+
+        The failure says whether the write may have taken effect.
+        """
         ...
 
     def read_watch(self, kind: str, response: HttpResponse) -> WatchBatch | Failure:
-        """Return the changes that a watch found."""
+        """Decode the response to a watch."""
         ...
 
 
-# Statuses by which the platform says that a call had no effect.
-_KINDS_OF_STATUS: dict[int, FailureKind] = {
+# HTTP statuses which guarantee that the call had no effect.
+_FAILURE_KINDS_BY_STATUS: dict[int, FailureKind] = {
     400: INVALID_REQUEST,
     404: OBJECT_NOT_FOUND,
     409: OBJECT_CONFLICT,
@@ -114,7 +118,7 @@
 
 
 class VersionedDialect:
-    """The interface of ``docs/object-kinds.md``."""
+    """Dialect of the object API described in ``docs/object-kinds.md``."""
 
     def get(self, kind: str, name: str) -> HttpRequest:
         """Return the request that reads one object."""
@@ -126,15 +130,15 @@
 
     def create(self, kind: str, name: str, value: str) -> HttpRequest:
         """Return the request that writes an object that must not exist yet."""
-        return _write("PUT", kind, name, value, {b"if-none-match": b"*"})
+        return _write_request("PUT", kind, name, value, {b"if-none-match": b"*"})
 
     def update(self, kind: str, name: str, value: str, version: int) -> HttpRequest:
-        """Return the request that replaces an object of a version."""
-        return _write("PUT", kind, name, value, {b"if-match": b"%d" % version})
+        """Return the request that replaces an object if it has this version."""
+        return _write_request("PUT", kind, name, value, {b"if-match": b"%d" % version})
 
     def delete(self, kind: str, name: str, version: int) -> HttpRequest:
-        """Return the request that deletes an object of a version."""
-        return _write("DELETE", kind, name, "", {b"if-match": b"%d" % version})
+        """Return the request that deletes an object if it has this version."""
+        return _write_request("DELETE", kind, name, "", {b"if-match": b"%d" % version})
 
     def watch(self, kind: str, after_version: int, timeout_ms: float) -> HttpRequest:
         """Return the request that waits for changes after a version."""
@@ -147,11 +151,11 @@
     def read_object(
         self, kind: str, name: str, response: HttpResponse
     ) -> StoredObject | Failure:
-        """Return the object that was read."""
-        return _read_object(response)
+        """Decode the response to the read of one object."""
+        return _decode_object(response)
 
     def read_list(self, kind: str, response: HttpResponse) -> ListPage | Failure:
-        """Return the listing, which has one page."""
+        """Decode the response to the request for a listing, which has one page."""
         if response.status != 200:
             return failure_of_status(response)
         try:
@@ -161,11 +165,11 @@
         return ListPage(tuple(item.to_port() for item in listed.objects))
 
     def read_written(self, kind: str, response: HttpResponse) -> StoredObject | Failure:
-        """Return the object written, or what is known about the write."""
-        return _read_write_answer(response)
+        """Decode the response to a write."""
+        return _decode_write(response)
 
     def read_watch(self, kind: str, response: HttpResponse) -> WatchBatch | Failure:
-        """Return the changes that a watch found."""
+        """Decode the response to a watch."""
         if response.status != 200:
             return failure_of_status(response)
         try:
@@ -176,7 +180,7 @@
         return WatchBatch(batch.version, changed, batch.deleted_names)
 
 
-def _write(
+def _write_request(
     method: str, kind: str, name: str, value: str, headers: dict[bytes, bytes]
 ) -> HttpRequest:
     return HttpRequest(
@@ -191,23 +195,23 @@
     return f"/v1/objects/{quote(kind, safe='')}/{quote(name, safe='')}"
 
 
-def _read_write_answer(response: HttpResponse) -> StoredObject | Failure:
-    """Return the object written, or what is known about a write without one.
+def _decode_write(response: HttpResponse) -> StoredObject | Failure:
+    """Return the written object, or the failure of the write.
 
-    Only the statuses in the table prove that a write had no effect. After any
-    other, such as a 5xx of the platform or of something in front of it, the
-    write may have taken effect or may still do so.
+    Only the statuses in ``_FAILURE_KINDS_BY_STATUS`` prove that a write had no
+    effect. After any other error status, such as a 5xx from the platform or from a
+    proxy in front of it, the write may have taken effect or may still do so.
     """
     if response.status == 200:
         try:
             return _ObjectModel.model_validate_json(response.body).to_port()
         except ValidationError:
             return STORE_WRITE_UNKNOWN.because("the store sent an invalid object")
-    kind = _KINDS_OF_STATUS.get(response.status, STORE_WRITE_UNKNOWN)
-    return kind.because(_reason_of(response))
+    failure_kind = _FAILURE_KINDS_BY_STATUS.get(response.status, STORE_WRITE_UNKNOWN)
+    return failure_kind.because(_failure_reason(response))
 
 
-def _read_object(response: HttpResponse) -> StoredObject | Failure:
+def _decode_object(response: HttpResponse) -> StoredObject | Failure:
     if response.status != 200:
         return failure_of_status(response)
     try:
@@ -217,10 +221,11 @@
 
 
 def failure_of_status(response: HttpResponse) -> Failure:
-    kind = _KINDS_OF_STATUS.get(response.status, STORE_UNAVAILABLE)
-    return kind.because(_reason_of(response))
+    """Return the failure of a read that was answered with an error status."""
+    failure_kind = _FAILURE_KINDS_BY_STATUS.get(response.status, STORE_UNAVAILABLE)
+    return failure_kind.because(_failure_reason(response))
 
 
-def _reason_of(response: HttpResponse) -> str:
+def _failure_reason(response: HttpResponse) -> str:
     text = response.body.decode("utf-8", "replace")[:200]
     return f"status {response.status}: {text}"
