--- a/chestnuthall/adapters/documents/__init__.py
+++ b/chestnuthall/adapters/documents/__init__.py
@@ -1,4 +1,4 @@
-"""Texts that operators and the platform store, checked by models."""
+"""Models and codecs of the documents that operators and the platform store."""
 
 from chestnuthall.adapters.documents._accounts import (
     read_account,
--- a/chestnuthall/adapters/documents/_accounts.py
+++ b/chestnuthall/adapters/documents/_accounts.py
@@ -1,4 +1,4 @@
-"""Accounts as callers receive them."""
+"""Decoding of the accounts that callers receive."""
 
 import json
 
@@ -11,15 +11,15 @@
 
 
 def read_account(text: str) -> Account | Failure:
-    """Read an account, or the whole answer or refusal that carries one."""
+    """Decode an account, given alone or within a complete answer or refusal."""
     try:
         value = json.loads(text)
         if isinstance(value, dict) and "account" in value:
             value = value["account"]
         return _ACCOUNT.validate_python(value)
     except ValidationError as error:
-        first = error.errors()[0]
-        place = ".".join(str(part) for part in first["loc"])
-        return INVALID_REQUEST.because(f"not an account: {place}: {first['msg']}")
+        first_error = error.errors()[0]
+        path = ".".join(str(step) for step in first_error["loc"])
+        return INVALID_REQUEST.because(f"invalid account: {path}: {first_error['msg']}")
     except ValueError as error:
         return INVALID_REQUEST.because(f"not JSON: {error}")
--- a/chestnuthall/adapters/documents/_burn.py
+++ b/chestnuthall/adapters/documents/_burn.py
@@ -1,4 +1,4 @@
-"""Text form of the stored burn counts."""
+"""JSON encoding of the stored burn ledger."""
 
 import json
 
@@ -14,8 +14,9 @@
 )
 from chestnuthall.core.results import INTERNAL_ERROR, Failure
 
-# Class name, then slot length in milliseconds, then slot index; the counts are
-# requests and then bad ones by cause, without the zeros at the end.
+# Counts by class name, slot length in milliseconds and slot index. A tuple holds
+# the number of requests, then the number of bad requests per cause in the order of
+# ``CAUSES``; trailing zeros are left out.
 _Classes = dict[str, dict[int, dict[int, tuple[int, ...]]]]
 
 
@@ -29,17 +30,17 @@
 
 
 class JsonBurnCodec:
-    """Encodes burn counts as compact JSON."""
+    """Encodes burn ledgers as compact JSON."""
 
     def encode(self, ledger: BurnLedger) -> str:
         """Return the text that is stored."""
         classes: _Classes = {}
         for key, tally in ledger.counts.tallies.items():
             slots = classes.setdefault(key.class_name, {}).setdefault(key.slot_ms, {})
-            slots[key.index] = _trimmed((tally.n_requests, *tally.n_bad))
+            slots[key.index] = _without_trailing_zeros((tally.n_requests, *tally.n_bad))
         writers = {
-            name: (mark.sequence, mark.n_writes)
-            for name, mark in ledger.writers.items()
+            name: (writer.sequence, writer.n_writes)
+            for name, writer in ledger.writers.items()
         }
         body = {
             "n_writes": ledger.n_writes,
@@ -50,29 +51,29 @@
         return json.dumps(body, separators=(",", ":"))
 
     def decode(self, text: str) -> BurnLedger | Failure:
-        """Return the counts that a text stands for."""
+        """Return the ledger that a stored text encodes."""
         try:
             model = _BurnModel.model_validate_json(text)
         except ValidationError as error:
-            return INTERNAL_ERROR.because(f"stored burn counts are damaged: {error}")
+            return INTERNAL_ERROR.because(f"the stored burn ledger is invalid: {error}")
         tallies = {
-            SlotKey(name, slot_ms, index): _tally(numbers)
+            SlotKey(name, slot_ms, index): _decode_tally(numbers)
             for name, by_length in model.classes.items()
             for slot_ms, slots in by_length.items()
             for index, numbers in slots.items()
         }
-        writers = {name: WriterMark(*mark) for name, mark in model.writers.items()}
+        writers = {name: WriterMark(*item) for name, item in model.writers.items()}
         return BurnLedger(
             BurnCounts(tallies), writers, model.n_writes, model.n_writes_forgotten
         )
 
 
-def _trimmed(numbers: tuple[int, ...]) -> tuple[int, ...]:
+def _without_trailing_zeros(numbers: tuple[int, ...]) -> tuple[int, ...]:
     n_kept = max((i + 1 for i, number in enumerate(numbers) if number), default=1)
     return numbers[:n_kept]
 
 
-def _tally(numbers: tuple[int, ...]) -> Tally:
+def _decode_tally(numbers: tuple[int, ...]) -> Tally:
     n_bad = numbers[1 : 1 + len(CAUSES)]
     padding = (0,) * (len(CAUSES) - len(n_bad))
     return Tally(numbers[0] if numbers else 0, n_bad + padding)
--- a/chestnuthall/adapters/documents/_configuration.py
+++ b/chestnuthall/adapters/documents/_configuration.py
@@ -1,4 +1,4 @@
-"""The stored object that makes an environment document a revision."""
+"""JSON encoding of a stored revision of an environment document."""
 
 from typing import Annotated
 
@@ -34,7 +34,7 @@
 
 
 def read_configuration(text: str) -> Configuration | Failure:
-    """Check a stored configuration, its digest included."""
+    """Decode a stored configuration and verify its digest."""
     try:
         model = ConfigurationModel.model_validate_json(text)
     except ValidationError as error:
--- a/chestnuthall/adapters/documents/_environment.py
+++ b/chestnuthall/adapters/documents/_environment.py
@@ -1,4 +1,4 @@
-"""The environment document: JSON with comments, written by operators."""
+"""Models of the environment document, which operators write as JSON with comments."""
 
 from hashlib import sha256
 from typing import Annotated, Literal
@@ -20,7 +20,8 @@
 )
 from chestnuthall.core.results import CONFIGURATION_REJECTED, Failure
 
-# Escaped and with its record, a document still fits the store's 1 MB per value.
+# Keeps a document, escaped as JSON and stored with the other fields of its record,
+# below the store's limit of 1 MB per value.
 N_DOCUMENT_BYTES_MAX = 256 * 1024
 
 Name = Annotated[str, Field(pattern=r"^[a-z][a-z0-9-]{0,62}$")]
@@ -38,13 +39,13 @@
     """Service-level objective of a class."""
 
     latency_ms: PositiveMs | None = None
-    """A request is good if it is answered within this time. When left out, 1000
-    or the deadline, whichever is less."""
+    """A request is good if it is answered within this time. When left out, it is
+    1000 or the deadline, whichever is less."""
     good_ratio: Annotated[float, Field(gt=0.0, lt=1.0)] = 0.99
-    """Part of the requests that must be good. The rest is the error budget."""
+    """Fraction of the requests that must be good. The rest is the error budget."""
 
     def to_core(self, deadline_ms: float) -> Objective:
-        """Return the objective as the decisions see it."""
+        """Return the objective as a core data class."""
         latency_ms = self.latency_ms or min(1000.0, deadline_ms)
         return Objective(latency_ms, self.good_ratio)
 
@@ -55,9 +56,9 @@
     share: Annotated[float, Field(gt=0.0)]
     """Weight of the class relative to the other classes."""
     urgency: Annotated[int, Field(ge=0, le=9)] = 0
-    """Among the classes within their share, the higher urgency goes first."""
+    """Among the classes within their share, a higher urgency is served first."""
     coverage_floor_ratio: Ratio = 0.0
-    """No answer of this class covers less of the index than this part."""
+    """Least fraction of the index that an answer of this class covers."""
     deadline_ms: PositiveMs
     """Longest time that a request of this class may take."""
     soft_deadline_ms: PositiveMs | None = None
@@ -69,7 +70,7 @@
     """Service-level objective of the class."""
 
     def to_core(self, name: str) -> CallerClass:
-        """Return the class as the decisions see it."""
+        """Return the class as a core data class."""
         return CallerClass(
             name=name,
             share=self.share,
@@ -92,11 +93,11 @@
     connect_cost_ms: Annotated[float, Field(ge=0.0)] = 1.0
     """Time to open a connection to a replica."""
     reserved_ratios: dict[Literal["search", "lookup", "mutation"], Ratio] = {}
-    """Per kind of request, the part of the group's limit that other kinds may
+    """Per kind of request, the fraction of the group's limit that other kinds may
     use only while it is idle."""
 
     def to_core(self, name: str) -> UpstreamGroup:
-        """Return the group as the decisions see it."""
+        """Return the group as a core data class."""
         return UpstreamGroup(
             name=name,
             n_slots=self.n_slots,
@@ -110,14 +111,14 @@
     """Budget for hedges and retries, per class of callers."""
 
     max_ratio: Ratio = 0.03
-    """Hedges and retries as a part of all shard calls, while there is room."""
+    """Hedges and retries as a fraction of all shard calls, while there is capacity."""
     full_below_ratio: Ratio = 0.70
-    """Utilisation below which the whole budget may be used."""
+    """Utilisation below which the full budget may be used."""
     none_above_ratio: Ratio = 0.95
-    """Utilisation above which nothing of the budget may be used."""
+    """Utilisation above which none of the budget may be used."""
 
     def to_core(self) -> ExtraLoadPolicy:
-        """Return the budget as the decisions see it."""
+        """Return the budget as a core data class."""
         return ExtraLoadPolicy(
             max_ratio=self.max_ratio,
             full_below_ratio=self.full_below_ratio,
@@ -126,7 +127,7 @@
 
 
 class EnvironmentModel(_Model):
-    """The whole document of one environment."""
+    """Document of one environment."""
 
     schema_address: Annotated[str | None, Field(alias="$schema")] = None
     """Address of the JSON Schema, for editors. The system does not read it."""
@@ -138,7 +139,7 @@
     """Budget for hedges and retries."""
 
     def to_core(self) -> EnvironmentDocument:
-        """Return the document as the decisions see it."""
+        """Return the document as a core data class."""
         return EnvironmentDocument(
             classes=tuple(item.to_core(name) for name, item in self.classes.items()),
             groups=tuple(item.to_core(name) for name, item in self.groups.items()),
@@ -154,7 +155,7 @@
 def check_environment(
     text: str, file_name: str = "document"
 ) -> EnvironmentDocument | tuple[Problem, ...]:
-    """Return the document for the decisions, or all its problems."""
+    """Validate a document and return it as a core data class, or all its problems."""
     n_bytes = len(text.encode())
     if n_bytes > N_DOCUMENT_BYTES_MAX:
         rule = f"the document has {n_bytes} bytes"
@@ -167,7 +168,7 @@
 def read_environment(
     text: str, file_name: str = "document"
 ) -> EnvironmentDocument | Failure:
-    """Check an environment document and return it for the decisions."""
+    """Validate a document and return it as a core data class, or as a failure."""
     checked = check_environment(text, file_name)
     if isinstance(checked, tuple):
         return CONFIGURATION_REJECTED.because(describe_problems(checked))
--- a/chestnuthall/adapters/documents/_instances.py
+++ b/chestnuthall/adapters/documents/_instances.py
@@ -10,7 +10,7 @@
 
 
 class InstanceModel(BaseModel):
-    """Value of an ``instances`` object; unknown fields are the platform's."""
+    """Value of an ``instances`` object; other fields of the platform are ignored."""
 
     model_config = ConfigDict(extra="ignore", frozen=True)
 
@@ -22,7 +22,7 @@
     state: Literal["live", "leaving"] = "live"
 
     def to_core(self) -> ListEntry:
-        """Return the entry as the services see it."""
+        """Return the entry as a data class of the ports."""
         return ListEntry(
             name=self.name,
             role=InstanceRole(self.role),
@@ -47,7 +47,7 @@
 
 
 def read_instance(text: str) -> InstanceModel | Failure:
-    """Check one entry of the list."""
+    """Decode one entry of the list."""
     try:
         return InstanceModel.model_validate_json(text)
     except ValidationError as error:
--- a/chestnuthall/adapters/documents/_ledger.py
+++ b/chestnuthall/adapters/documents/_ledger.py
@@ -1,4 +1,4 @@
-"""Text form of a ledger partition."""
+"""JSON encoding of ledger partitions."""
 
 import json
 
@@ -9,7 +9,7 @@
 
 
 class _PartitionModel(BaseModel):
-    """``entries`` maps a key to its token and issue time."""
+    """Stored partition; ``entries`` maps a key to its token and issue time."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -30,10 +30,12 @@
         return json.dumps(body, separators=(",", ":"))
 
     def decode(self, text: str) -> LedgerPartition | Failure:
-        """Return the partition that a text stands for."""
+        """Return the partition that a stored text encodes."""
         try:
             model = _PartitionModel.model_validate_json(text)
         except ValidationError as error:
-            return INTERNAL_ERROR.because(f"a ledger partition is damaged: {error}")
+            return INTERNAL_ERROR.because(
+                f"a stored ledger partition is invalid: {error}"
+            )
         entries = {key: ClaimEntry(*item) for key, item in model.entries.items()}
         return LedgerPartition(model.floor_ms, entries)
--- a/chestnuthall/adapters/documents/_partition_map.py
+++ b/chestnuthall/adapters/documents/_partition_map.py
@@ -1,4 +1,4 @@
-"""Partition maps as the index builder publishes them."""
+"""JSON encoding of the partition maps that the index builder publishes."""
 
 from typing import Annotated
 
@@ -21,7 +21,7 @@
 
 
 class ShardModel(_Model):
-    """One shard; an empty ``end`` is unbounded."""
+    """One shard; an empty ``end`` leaves its key range without an upper bound."""
 
     shard_id: str
     start: str
@@ -30,7 +30,7 @@
     replicas: tuple[ReplicaModel, ...]
 
     def to_core(self) -> Shard:
-        """Return the shard as the decisions see it."""
+        """Return the shard as a core data class."""
         replicas = tuple(Replica(r.name, r.address, r.zone) for r in self.replicas)
         key_range = KeyRange(self.start, self.end)
         return Shard(self.shard_id, key_range, self.n_documents, replicas)
@@ -44,13 +44,13 @@
     shards: Annotated[tuple[ShardModel, ...], Field(min_length=1)]
 
     def to_core(self) -> PartitionMap:
-        """Return the map as the decisions see it."""
+        """Return the map as a core data class."""
         shards = tuple(shard.to_core() for shard in self.shards)
         return PartitionMap(self.group, self.snapshot_id, shards)
 
 
 def read_partition_map(text: str | bytes) -> PartitionMap | Failure:
-    """Check a partition map and return it for the decisions."""
+    """Validate a partition map and return it as a core data class."""
     try:
         return PartitionMapModel.model_validate_json(text).to_core()
     except ValidationError as error:
--- a/chestnuthall/adapters/documents/_revisions.py
+++ b/chestnuthall/adapters/documents/_revisions.py
@@ -1,4 +1,4 @@
-"""Text forms of revisions and of their history."""
+"""JSON encoding of revisions and of their history."""
 
 from dataclasses import asdict
 
@@ -31,7 +31,7 @@
         return encode_configuration(ConfigurationModel(**asdict(record)))
 
     def decode_record(self, text: str) -> RevisionRecord | Failure:
-        """Check the text of an ``environments`` object, its digest included."""
+        """Decode the text of an ``environments`` object and verify its digest."""
         try:
             model = ConfigurationModel.model_validate_json(text)
         except ValidationError as error:
@@ -42,13 +42,15 @@
 
     def encode_history(self, history: History) -> str:
         """Return the text of an ``environment-history`` object."""
-        records = tuple(ConfigurationModel(**asdict(x)) for x in history.records)
+        records = tuple(ConfigurationModel(**asdict(item)) for item in history.records)
         return _HistoryModel(records=records).model_dump_json()
 
     def decode_history(self, text: str) -> History | Failure:
-        """Check the text of an ``environment-history`` object."""
+        """Decode the text of an ``environment-history`` object."""
         try:
             model = _HistoryModel.model_validate_json(text)
         except ValidationError as error:
-            return CONFIGURATION_REJECTED.because(f"the history is damaged: {error}")
+            return CONFIGURATION_REJECTED.because(
+                f"the stored history is invalid: {error}"
+            )
         return History(tuple(_to_record(item) for item in model.records))
--- a/chestnuthall/adapters/documents/_rules.py
+++ b/chestnuthall/adapters/documents/_rules.py
@@ -1,7 +1,7 @@
 """Rules of the environment document that involve several fields.
 
-They run on plain values, some of which may be wrong on their own; a rule is
-left out where a value that it needs is not of the right type.
+The rules check the parsed JSON, whose single values may still be invalid. A rule is
+skipped where a value that it needs has the wrong type.
 """
 
 from collections.abc import Iterator
@@ -9,23 +9,23 @@
 
 from chestnuthall.adapters.commentedjson import BrokenRule, CrossCheck
 
-# A class with less than this part of all shares would in practice never be
-# served while the other classes have work.
+# Least share of a class as a fraction of the sum of all shares. A class below it
+# would in practice never be served while the other classes have requests.
 SHARE_RATIO_MIN: Final = 0.001
 # Sums of decimal fractions such as 0.1 + 0.2 + 0.7 may exceed 1 by rounding.
-ROUNDING: Final = 1e-9
+ROUNDING_TOLERANCE: Final = 1e-9
 
-_Item = tuple[str, dict[str, Any]]
+_NamedObject = tuple[str, dict[str, Any]]
 
 
-def _objects(value: Any, name: str) -> list[_Item]:
+def _named_objects(value: Any, name: str) -> list[_NamedObject]:
     items = value.get(name) if isinstance(value, dict) else None
     if not isinstance(items, dict):
         return []
     return [(key, item) for key, item in items.items() if isinstance(item, dict)]
 
 
-def _number(item: Any, name: str, default: float | None = None) -> float | None:
+def _number_field(item: Any, name: str, default: float | None = None) -> float | None:
     value = item.get(name, default) if isinstance(item, dict) else default
     if isinstance(value, bool) or not isinstance(value, int | float):
         return None
@@ -33,31 +33,34 @@
 
 
 def check_shares(value: Any) -> Iterator[BrokenRule]:
-    """Yield classes whose share is too small a part of all shares."""
-    shares = {name: _number(item, "share") for name, item in _objects(value, "classes")}
-    known = {name: share for name, share in shares.items() if share and share > 0.0}
-    least = sum(known.values()) * SHARE_RATIO_MIN
-    for name, share in known.items():
-        if share < least:
+    """Yield classes whose share is too small a fraction of all shares."""
+    shares = {
+        name: _number_field(item, "share")
+        for name, item in _named_objects(value, "classes")
+    }
+    positive = {name: share for name, share in shares.items() if share and share > 0.0}
+    share_min = sum(positive.values()) * SHARE_RATIO_MIN
+    for name, share in positive.items():
+        if share < share_min:
             rule = f"{share:g} is less than {SHARE_RATIO_MIN:g} of all shares"
             path = ("classes", name, "share")
-            yield BrokenRule(path, rule, f"write at least {least:g}")
+            yield BrokenRule(path, rule, f"write at least {share_min:g}")
 
 
 def check_deadlines(value: Any) -> Iterator[BrokenRule]:
     """Yield soft deadlines and objectives that do not fit the deadline."""
-    for name, item in _objects(value, "classes"):
-        deadline_ms = _number(item, "deadline_ms")
+    for name, item in _named_objects(value, "classes"):
+        deadline_ms = _number_field(item, "deadline_ms")
         if deadline_ms is None:
             continue
-        soft_ms = _number(item, "soft_deadline_ms")
+        soft_ms = _number_field(item, "soft_deadline_ms")
         if soft_ms is not None and soft_ms >= deadline_ms:
             yield BrokenRule(
                 ("classes", name, "soft_deadline_ms"),
                 f"{soft_ms:g} is not before the deadline of {deadline_ms:g} ms",
                 f"write less than {deadline_ms:g}",
             )
-        latency_ms = _number(item.get("objective"), "latency_ms")
+        latency_ms = _number_field(item.get("objective"), "latency_ms")
         if latency_ms is not None and latency_ms > deadline_ms:
             yield BrokenRule(
                 ("classes", name, "objective", "latency_ms"),
@@ -67,37 +70,37 @@
 
 
 def check_soft_deadline_floors(value: Any) -> Iterator[BrokenRule]:
-    """Yield classes whose soft deadline would return empty answers."""
-    for name, item in _objects(value, "classes"):
-        floor_ratio = _number(item, "coverage_floor_ratio", 0.0)
-        if _number(item, "soft_deadline_ms") is not None and floor_ratio == 0.0:
+    """Yield classes whose soft deadline allows empty answers."""
+    for name, item in _named_objects(value, "classes"):
+        floor_ratio = _number_field(item, "coverage_floor_ratio", 0.0)
+        if _number_field(item, "soft_deadline_ms") is not None and floor_ratio == 0.0:
             yield BrokenRule(
                 ("classes", name, "soft_deadline_ms"),
-                "with a coverage floor of 0, answers may be empty from then on",
+                "with a coverage floor of 0, answers may be empty from this time on",
                 "write a coverage_floor_ratio above 0, or no soft deadline",
             )
 
 
 def check_reserved_ratios(value: Any) -> Iterator[BrokenRule]:
-    """Yield groups whose reserved parts are more than the whole."""
-    for name, item in _objects(value, "groups"):
+    """Yield groups whose reserved ratios add up to more than 1."""
+    for name, item in _named_objects(value, "groups"):
         reserved = item.get("reserved_ratios")
         if not isinstance(reserved, dict):
             continue
-        total = sum(_number(reserved, kind) or 0.0 for kind in reserved)
-        if total > 1.0 + ROUNDING:
+        total = sum(_number_field(reserved, kind) or 0.0 for kind in reserved)
+        if total > 1.0 + ROUNDING_TOLERANCE:
             yield BrokenRule(
                 ("groups", name, "reserved_ratios"),
-                f"the parts add up to {total:g}",
+                f"the ratios add up to {total:g}",
                 "let them add up to at most 1",
             )
 
 
 def check_connections(value: Any) -> Iterator[BrokenRule]:
-    """Yield groups whose connections cannot fill the slots."""
-    for name, item in _objects(value, "groups"):
-        n_slots = _number(item, "n_slots")
-        n_connections = _number(item, "n_connections_max")
+    """Yield groups with fewer connections than slots per replica."""
+    for name, item in _named_objects(value, "groups"):
+        n_slots = _number_field(item, "n_slots")
+        n_connections = _number_field(item, "n_connections_max")
         if n_slots is None or n_connections is None or n_connections >= n_slots:
             continue
         yield BrokenRule(
@@ -108,10 +111,10 @@
 
 
 def check_extra_load(value: Any) -> Iterator[BrokenRule]:
-    """Yield thresholds of the extra load that are not in order."""
+    """Yield extra-load thresholds that are out of order."""
     policy = value.get("extra_load") if isinstance(value, dict) else None
-    full_below = _number(policy, "full_below_ratio", 0.70)
-    none_above = _number(policy, "none_above_ratio", 0.95)
+    full_below = _number_field(policy, "full_below_ratio", 0.70)
+    none_above = _number_field(policy, "none_above_ratio", 0.95)
     if full_below is None or none_above is None or full_below < none_above:
         return
     yield BrokenRule(
--- a/chestnuthall/adapters/documents/tests/test_environment.py
+++ b/chestnuthall/adapters/documents/tests/test_environment.py
@@ -1,10 +1,14 @@
-"""Guards against documents that are wrong and accepted, or refused unclearly."""
+"""Tests the validation of environment documents and its error messages.
+
+Guards against an invalid document that is accepted, and against a refusal from which
+an operator cannot tell what is wrong, where, and how to correct it.
+"""
 
 import pytest
 
 from chestnuthall.adapters.documents import check_environment
 
-GOOD = """{
+VALID_DOCUMENT = """{
   // Comments and a trailing comma are allowed; "//" in a text is no comment.
   "$schema": "http://example.org/environment.schema.json",
   "classes": {
@@ -15,10 +19,10 @@
   }
 }"""
 
-# (case, text replaced, its replacement, start of each error)
+# (case, text replaced, its replacement, prefix of each error message)
 CASES = [
     (
-        "unknown field with a near name",
+        "unknown field with a similar name",
         '"share": 5',
         '"share": 5, "deadlin_ms": 7',
         ["5:27: classes.clerk.deadlin_ms: there is no such field; did you mean 'dead"],
@@ -51,7 +55,7 @@
         ],
     ),
     (
-        "soft deadline after the deadline and without a floor",
+        "soft deadline at the deadline and without a coverage floor",
         '"share": 5',
         '"share": 5, "soft_deadline_ms": 900',
         [
@@ -60,19 +64,19 @@
         ],
     ),
     (
-        "share that is never served",
+        "share below the minimum",
         '"clerk"',
         '"batch": {"share": 0.001, "deadline_ms": 9}, "clerk"',
         ["5:15: classes.batch.share: 0.001 is less than 0.001 of all shares; write"],
     ),
     (
-        "reserved parts above the whole",
+        "reserved ratios with a sum above 1",
         '"n_slots": 3',
         '"n_slots": 3, "reserved_ratios": {"search": 0.6, "lookup": 0.5}',
-        ["8:28: groups.desk.reserved_ratios: the parts add up to 1.1; let them"],
+        ["8:28: groups.desk.reserved_ratios: the ratios add up to 1.1; let them"],
     ),
     (
-        "reserved part of an unknown kind",
+        "reserved ratio of an unknown kind",
         '"n_slots": 3',
         '"n_slots": 3, "reserved_ratios": {"serch": 0.6}',
         ["8:48: groups.desk.reserved_ratios.serch: the name 'serch' breaks the rule"],
@@ -90,12 +94,12 @@
         ["7:18: extra_load.full_below_ratio: 0.96 is not below none_above_ratio"],
     ),
     (
-        "name given twice",
+        "duplicate name",
         '"share": 5',
         '"share": 5, "share": 6',
         ["5:27: classes.clerk.share: the name is given twice; keep one"],
     ),
-    ("no JSON", '"share": 5', '"share" 5', ["5:23: document: Expecting ':'"]),
+    ("invalid JSON", '"share": 5', '"share" 5', ["5:23: document: Expecting ':'"]),
     (
         "not a number",
         '"share": 5',
@@ -111,19 +115,19 @@
 ]
 
 
-def test_good_document_is_accepted():
-    """Guards the defaults, too: the objective never exceeds the deadline."""
-    document = check_environment(GOOD)
+def test_valid_document_is_accepted():
+    """The default objective must not exceed the deadline of its class."""
+    document = check_environment(VALID_DOCUMENT)
     assert document.class_named("clerk").objective.latency_ms == 900.0
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "starts"), [case[1:] for case in CASES], ids=[c[0] for c in CASES]
+    ("old", "new", "prefixes"), [case[1:] for case in CASES], ids=[c[0] for c in CASES]
 )
-def test_errors_give_place_rule_and_remedy(old, new, starts):
-    problems = check_environment(GOOD.replace(old, new, 1), "env.jsonc")
+def test_errors_give_position_rule_and_remedy(old, new, prefixes):
+    problems = check_environment(VALID_DOCUMENT.replace(old, new, 1), "env.jsonc")
     assert isinstance(problems, tuple), problems
     lines = [str(problem) for problem in problems]
-    assert len(lines) == len(starts), lines
-    for line, start in zip(lines, starts, strict=True):
-        assert line.startswith(f"env.jsonc:{start}"), line
+    assert len(lines) == len(prefixes), lines
+    for line, prefix in zip(lines, prefixes, strict=True):
+        assert line.startswith(f"env.jsonc:{prefix}"), line
--- a/chestnuthall/adapters/documents/tests/test_ledger.py
+++ b/chestnuthall/adapters/documents/tests/test_ledger.py
@@ -1,4 +1,8 @@
-"""Guards the ledger's object against growing beyond what the store accepts."""
+"""Tests that an encoded ledger partition fits the store's limit per value.
+
+Guards against an estimate below the encoded size and against a partition that
+accepts claims until the store refuses to write it.
+"""
 
 import pytest
 from hypothesis import given, settings
@@ -35,17 +39,17 @@
 
 
 @pytest.mark.parametrize(
-    ("letter", "length", "n_kept"),
+    ("character", "length", "n_kept"),
     [
-        pytest.param("k", 8, 6_000, id="short-keys-by-count"),
-        pytest.param("k", 128, 4_807, id="long-keys-by-size"),
+        pytest.param("k", 8, 6_000, id="short-keys-limited-by-count"),
+        pytest.param("k", 128, 4_807, id="long-keys-limited-by-size"),
         pytest.param('"', 128, None, id="escaped"),
         pytest.param("\U0001f600", 128, None, id="emoji"),
     ],
 )
-def test_full_partition_fits_the_store(letter, length, n_kept):
-    """Claims beyond a megabyte or the count must be refused as full."""
-    keys = [f"{n:06d}".ljust(length, letter) for n in range(8_000)]
+def test_full_partition_fits_the_store(character, length, n_kept):
+    """Claims beyond the limit of bytes or of entries must be refused as ``FULL``."""
+    keys = [f"{n:06d}".ljust(length, character) for n in range(8_000)]
     partition, decisions = add_claims(
         EMPTY_PARTITION, make_claims(keys), LedgerSettings(), WALL_MS
     )
