--- a/chestnuthall/adapters/logs/__init__.py
+++ b/chestnuthall/adapters/logs/__init__.py
@@ -1,4 +1,4 @@
-"""JSON log lines of bounded volume."""
+"""JSON logging with a limit on its volume."""
 
 from chestnuthall.adapters.logs._limit import LogLimits, RateLimitFilter
 from chestnuthall.adapters.logs._setup import EventFormatter, set_up_logs
--- a/chestnuthall/adapters/logs/_setup.py
+++ b/chestnuthall/adapters/logs/_setup.py
@@ -1,4 +1,4 @@
-"""Set-up of the JSON log."""
+"""Configuration of the JSON log."""
 
 import logging
 import sys
@@ -12,7 +12,11 @@
 
 
 class EventFormatter(JsonFormatter):
-    """Writes a line as JSON; ``event`` is the message as a stable name."""
+    """Formats a log record as a line of JSON.
+
+    The field ``event`` is the message with underscores instead of spaces, which gives
+    each event a stable name.
+    """
 
     def __init__(self, instance: str) -> None:
         super().__init__(
@@ -23,7 +27,7 @@
         )
 
     def process_log_record(self, log_data: dict[str, object]) -> dict[str, object]:
-        """Put the event first; called by the library."""
+        """Put the event first; called by the base class."""
         message = str(log_data.pop("message", ""))
         return {"event": message.replace(" ", "_"), **log_data}
 
@@ -33,34 +37,35 @@
         record: logging.LogRecord,
         message_dict: dict[str, object],
     ) -> None:
-        """Add the message, from which the event is made; called by the library."""
+        """Add the message, which becomes the event; called by the base class."""
         super().add_fields(log_data, record, message_dict)
         log_data["message"] = record.getMessage()
 
 
 def set_up_logs(
-    level: str, instance: str, bounded_loggers: Iterable[str] = ()
+    level: str, instance: str, self_limiting_loggers: Iterable[str] = ()
 ) -> RateLimitFilter:
     """Write the log of this process to standard output as JSON lines.
 
-    Loggers of ``bounded_loggers`` bound their volume themselves. Returns the
-    filter of all others, whose report has to be called from time to time.
+    The loggers named in ``self_limiting_loggers`` limit their volume themselves.
+    Returns the filter of all other loggers; its ``report_dropped`` has to be called
+    periodically.
     """
     stream = LossyStream(sys.stdout.fileno())
-    handler = _handler(stream, instance)
-    limit = RateLimitFilter(LogLimits(), monotonic_ms, stream.take_lost)
-    handler.addFilter(limit)
+    handler = _make_handler(stream, instance)
+    rate_limit = RateLimitFilter(LogLimits(), monotonic_ms, stream.pop_n_lost)
+    handler.addFilter(rate_limit)
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(level)
-    for name in bounded_loggers:
+    for name in self_limiting_loggers:
         logger = logging.getLogger(name)
-        logger.handlers[:] = [_handler(stream, instance)]
+        logger.handlers[:] = [_make_handler(stream, instance)]
         logger.propagate = False
-    return limit
+    return rate_limit
 
 
-def _handler(stream: LossyStream, instance: str) -> "logging.Handler":
+def _make_handler(stream: LossyStream, instance: str) -> "logging.Handler":
     handler = logging.StreamHandler(stream)
     handler.setFormatter(EventFormatter(instance))
     return handler
--- a/chestnuthall/adapters/logs/_stream.py
+++ b/chestnuthall/adapters/logs/_stream.py
@@ -1,16 +1,16 @@
-"""A text stream that loses lines where a pipe is full, and never waits."""
+"""A non-blocking text stream that loses lines while its pipe is full."""
 
 import os
 import select
 
-# A pipe that can be written takes at least so many bytes at once.
+# A writable pipe accepts at least this many bytes in one write without blocking.
 N_PIPE_BYTES = 4096
 
 
 class LossyStream:
-    """Writes to a file descriptor only what it takes without waiting.
+    """Writes to a file descriptor only what it accepts without blocking.
 
-    ``n_lost`` counts the writes that were lost because nobody read the pipe.
+    ``n_lost`` counts the writes that were lost because the pipe was full or closed.
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -29,7 +29,8 @@
             try:
                 n_written = os.write(self._descriptor, data[:N_PIPE_BYTES])
             except OSError:
-                # The reader has gone; a log must not end the process.
+                # The reader has closed the pipe. An error of the log must not end
+                # the process.
                 self.n_lost += 1
                 return
             data = data[n_written:]
@@ -41,9 +42,9 @@
         )
 
     def flush(self) -> None:
-        """Do nothing; every write goes out at once."""
+        """Do nothing; writes are not buffered."""
 
-    def take_lost(self) -> int:
-        """Return how many writes were lost since the last call."""
+    def pop_n_lost(self) -> int:
+        """Return how many writes were lost since the last call; reset the count."""
         n_lost, self.n_lost = self.n_lost, 0
         return n_lost
--- a/chestnuthall/adapters/logs/tests/test_stream.py
+++ b/chestnuthall/adapters/logs/tests/test_stream.py
@@ -1,4 +1,8 @@
-"""Guards requests against a log that nobody reads."""
+"""Tests that writing to the log neither blocks nor fails.
+
+Guards against a full or closed log pipe that stops the event loop or ends the
+process, and with it all requests.
+"""
 
 import os
 
@@ -20,29 +24,29 @@
 
 
 def test_full_pipe_loses_lines_and_counts_them(pipe):
-    """A write that waits would stop the event loop of the instance."""
+    """A blocking write would stop the event loop of the instance."""
     _, writer = pipe
     stream = LossyStream(writer)
     for _ in range(100):
         stream.write("x" * N_PIPE_BYTES)
-    assert stream.take_lost() > 0
-    assert stream.take_lost() == 0
+    assert stream.pop_n_lost() > 0
+    assert stream.pop_n_lost() == 0
 
 
-def test_lines_go_on_once_the_pipe_is_read(pipe):
+def test_lines_are_written_again_once_the_pipe_is_read(pipe):
     reader, writer = pipe
     stream = LossyStream(writer)
     while not stream.n_lost:
         stream.write("x" * N_PIPE_BYTES)
     os.read(reader, 8 * N_PIPE_BYTES)
-    stream.take_lost()
+    stream.pop_n_lost()
     stream.write("line\n")
-    assert stream.take_lost() == 0
+    assert stream.pop_n_lost() == 0
 
 
-def test_closed_reader_ends_nothing(pipe):
+def test_closed_pipe_raises_no_error(pipe):
     reader, writer = pipe
     os.close(reader)
     stream = LossyStream(writer)
     stream.write("line\n")
-    assert stream.take_lost() == 1
+    assert stream.pop_n_lost() == 1
