--- a/chestnuthall/adapters/metrics/__init__.py
+++ b/chestnuthall/adapters/metrics/__init__.py
@@ -1,4 +1,4 @@
-"""Metrics by statsd, and as text for whoever asks."""
+"""Metrics ports: statsd over UDP and the Prometheus text format."""
 
 from chestnuthall.adapters.metrics._exposition import CONTENT_TYPE, ExpositionMetrics
 from chestnuthall.adapters.metrics._statsd import NullMetrics, StatsdMetrics
--- a/chestnuthall/adapters/metrics/_exposition.py
+++ b/chestnuthall/adapters/metrics/_exposition.py
@@ -1,4 +1,4 @@
-"""Metrics port on counters and histograms that are read as text."""
+"""Metrics port in the Prometheus text exposition format."""
 
 from typing import Any
 
@@ -10,15 +10,15 @@
 # Bounds of the latency histograms, in milliseconds: fine around the objectives of
 # tens to hundreds, coarse up to the longest deadlines.
 BUCKETS_MS = (2, 5, 10, 20, 30, 50, 75, 100, 150, 200, 300, 500, 1000, 2000, 5000)
-# Names come from the code and from result codes. The bound keeps a defect that
-# makes them up at run time from filling the memory.
+# Names come from the code and from result codes. The maximum keeps a defect that
+# composes names at run time from exhausting the memory.
 N_NAMES_MAX = 1024
 
 
 class ExpositionMetrics:
-    """Keeps counters, gauges and histograms for whoever asks for them.
+    """Keeps counters, gauges and histograms for scraping.
 
-    The first part of a name is the metric, the others are the value of its label
+    A name up to its first dot is the metric; the rest is the value of its label
     ``of``, as in ``chestnuthall_requests_total{of="scatter.ok"}``.
     """
 
@@ -27,30 +27,34 @@
         self._counters: dict[str, Counter] = {}
         self._gauges: dict[str, Gauge] = {}
         self._histograms: dict[str, Histogram] = {}
-        self._names: dict[str, Counter | Gauge | Histogram] = {}
+        self._children: dict[str, Counter | Gauge | Histogram] = {}
 
     def count(self, name: str, n: int = 1) -> None:
         """Add to a counter."""
-        child = self._names.get(name) or self._child(name, Counter, self._counters)
+        child = self._children.get(name) or self._add_child(
+            name, Counter, self._counters
+        )
         if isinstance(child, Counter):
             child.inc(n)
 
     def gauge(self, name: str, value: float) -> None:
         """Set a gauge."""
-        child = self._names.get(name) or self._child(name, Gauge, self._gauges)
+        child = self._children.get(name) or self._add_child(name, Gauge, self._gauges)
         if isinstance(child, Gauge):
             child.set(value)
 
     def timing(self, name: str, duration_ms: float) -> None:
         """Record a duration."""
-        child = self._names.get(name) or self._child(name, Histogram, self._histograms)
+        child = self._children.get(name) or self._add_child(
+            name, Histogram, self._histograms
+        )
         if isinstance(child, Histogram):
             child.observe(duration_ms)
 
-    def _child(
+    def _add_child(
         self, name: str, kind: type[Any], families: dict[str, Any]
     ) -> Counter | Gauge | Histogram | None:
-        if len(self._names) >= N_NAMES_MAX:
+        if len(self._children) >= N_NAMES_MAX:
             return None
         metric, _, detail = name.partition(".")
         family = families.get(metric)
@@ -63,10 +67,10 @@
                 registry=self._registry,
                 **options,
             )
-        child = self._names[name] = family.labels(detail)
+        child = self._children[name] = family.labels(detail)
         return child
 
     def text(self) -> bytes:
-        """Return everything in the text exposition format."""
+        """Return all metrics in the text exposition format."""
         data: bytes = generate_latest(self._registry)
         return data
--- a/chestnuthall/adapters/metrics/tests/test_statsd.py
+++ b/chestnuthall/adapters/metrics/tests/test_statsd.py
@@ -1,4 +1,8 @@
-"""Guards the number of datagrams under a flood, and the sums that are sent."""
+"""Tests the aggregation of metrics that are sent to statsd.
+
+Guards against a number of datagrams that grows with the rate of requests or errors,
+and against wrong sums.
+"""
 
 import asyncio
 import socket
@@ -18,7 +22,7 @@
         n_datagrams += 1
 
 
-def test_flood_is_added_up_and_sampled():
+def test_counts_are_aggregated_and_timings_sampled():
     async def scenario(port):
         metrics = StatsdMetrics("127.0.0.1", port, "t")
         for n in range(5000):
