--- a/chestnuthall/adapters/settings/__init__.py
+++ b/chestnuthall/adapters/settings/__init__.py
@@ -1,4 +1,4 @@
-"""The settings file of one instance: JSON with comments."""
+"""Models of the settings file of an instance and of the profile of the tool."""
 
 from chestnuthall.adapters.settings._models import (
     InstanceSettings,
--- a/chestnuthall/adapters/settings/_models.py
+++ b/chestnuthall/adapters/settings/_models.py
@@ -23,31 +23,31 @@
 
 
 class StatsdSettings(_Model):
-    """Where metrics go."""
+    """Statsd server that receives the metrics."""
 
     host: str = "127.0.0.1"
     """Numeric address of the statsd server."""
     port: Annotated[int, Field(ge=1, le=65_535)] = 8125
     """UDP port of the statsd server."""
     prefix: str = "chestnuthall"
-    """Put before the name of each metric."""
+    """Prefix of the name of each metric."""
 
 
 class LimitSettings(_Model):
-    """Bounds that protect the instance from its callers."""
+    """Limits that protect the instance from its callers."""
 
     n_header_bytes_max: Annotated[int, Field(ge=1024)] = 16 * 1024
-    """Longest head of a request."""
+    """Maximum size of the head of a request."""
     n_body_bytes_max: Annotated[int, Field(ge=1024)] = 1024 * 1024
-    """Longest body of a request."""
+    """Maximum size of the body of a request."""
     n_connections_max: Annotated[int, Field(ge=1)] = 1024
-    """Connections of callers that are open at once."""
+    """Maximum number of open connections from callers."""
     idle_timeout_ms: Annotated[float, Field(gt=0.0)] = 75_000.0
     """A connection without a request is closed after this time."""
 
 
 class InstanceSettings(_Model):
-    """Everything that differs between the instances of an environment."""
+    """Settings that may differ between the instances of an environment."""
 
     schema_address: Annotated[str | None, Field(alias="$schema")] = None
     """Address of the JSON Schema, for editors. The system does not read it."""
@@ -64,15 +64,15 @@
     store_address: Address
     """Numeric address and port of the platform's object API."""
     leave_notice_ms: Annotated[float, Field(ge=0.0)] = 3_000.0
-    """A leaving instance serves on for this time before it stops listening."""
+    """A leaving instance continues to serve for this time before it stops listening."""
     two_level_fan_out: bool = False
     """Divide searches over the instances; every instance needs the same value."""
     statsd: StatsdSettings | None = None
-    """Where metrics go. When left out, none are sent."""
+    """Statsd server that receives the metrics. When left out, none are sent."""
     limits: LimitSettings = LimitSettings()
-    """Bounds on what callers may send and keep open."""
+    """Limits on what callers may send and keep open."""
     log_level: Annotated[str, Field(pattern="^(DEBUG|INFO|WARNING|ERROR)$")] = "INFO"
-    """Least severity that is logged."""
+    """Minimum severity of the lines that are logged."""
 
 
 def check_addresses(value: Any) -> Iterator[BrokenRule]:
@@ -88,7 +88,7 @@
 
 
 def read_settings(text: str, file_name: str = "settings") -> InstanceSettings | Failure:
-    """Check a settings file."""
+    """Validate a settings file."""
     checked = check_text(text, InstanceSettings, file_name, (check_addresses,))
     if isinstance(checked, tuple):
         return CONFIGURATION_REJECTED.because(describe_problems(checked))
--- a/chestnuthall/adapters/settings/_profile.py
+++ b/chestnuthall/adapters/settings/_profile.py
@@ -1,4 +1,4 @@
-"""The profile of the operators' tool: JSON with comments."""
+"""Model of the profile of the operators' tool."""
 
 from collections.abc import Iterator
 from typing import Annotated, Any
@@ -15,7 +15,7 @@
 
 
 class ToolProfile(BaseModel):
-    """Where the tool works, and for whom."""
+    """Settings of the tool for one operator."""
 
     model_config = ConfigDict(
         extra="forbid", frozen=True, use_attribute_docstrings=True
@@ -26,21 +26,23 @@
     store_address: Address
     """Numeric address and port of the platform's object API."""
     operator: Annotated[str, Field(min_length=1, max_length=64)]
-    """Name that the history shows for what this operator does."""
+    """Name under which the history records the actions of this operator."""
     trial_environment: Name = "trial"
-    """Environment in which documents are proven."""
+    """Environment in which documents are tried before promotion."""
     production_environment: Name = "production"
     """Environment to which documents are promoted."""
     in_force_timeout_ms: Annotated[float, Field(ge=0.0)] = 8_000.0
-    """Time to wait until an accepted revision is in force everywhere."""
+    """Maximum time to wait until an accepted revision is in force on all instances."""
     trial_min_ms: Annotated[float, Field(ge=0.0)] = 60_000.0
-    """A document must be in force in trial for this time before promotion."""
+    """A document must be in force in the trial environment for this time before
+    promotion."""
     n_trial_requests_min: Annotated[int, Field(ge=0)] = 1
-    """Requests that trial must have served under a document before promotion."""
+    """Minimum number of requests that the trial environment must have served with a
+    document before promotion."""
 
 
 def check_environments(value: Any) -> Iterator[BrokenRule]:
-    """Yield a production environment that is trial itself."""
+    """Yield a production environment that equals the trial environment."""
     if not isinstance(value, dict):
         return
     production = value.get("production_environment", "production")
@@ -53,7 +55,7 @@
 
 
 def read_profile(text: str, file_name: str = "profile") -> ToolProfile | Failure:
-    """Check a profile."""
+    """Validate a profile."""
     checked = check_text(text, ToolProfile, file_name, (check_environments,))
     if isinstance(checked, tuple):
         return CONFIGURATION_REJECTED.because(describe_problems(checked))
