--- a/chestnuthall/adapters/commentedjson/__init__.py
+++ b/chestnuthall/adapters/commentedjson/__init__.py
@@ -1,8 +1,8 @@
-"""JSON with comments, checked by models, with errors that give positions."""
+"""Validation of JSON with comments; problems give line and column."""
 
 from chestnuthall.adapters.commentedjson._check import (
-    BrokenRule,
     CrossCheck,
+    RuleViolation,
     check_text,
     describe_problems,
 )
@@ -14,7 +14,7 @@
 )
 
 __all__ = [
-    "BrokenRule",
+    "RuleViolation",
     "CrossCheck",
     "Problem",
     "Source",
--- a/chestnuthall/adapters/commentedjson/_problems.py
+++ b/chestnuthall/adapters/commentedjson/_problems.py
@@ -1,11 +1,13 @@
-"""One error in a file that an operator wrote."""
+"""Problems found in a file that an operator wrote."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Problem:
-    """A broken rule with its position; lines and columns count from 1.
+    """A problem and its position; lines and columns count from 1.
+
+    ``rule`` says what is wrong and ``right`` how to correct it.
 
     Examples
     --------
@@ -23,5 +25,5 @@
 
     def __str__(self) -> str:
         """Return the problem as one line."""
-        place = f"{self.file_name}:{self.line}:{self.column}"
-        return f"{place}: {self.path or 'document'}: {self.rule}; {self.right}"
+        position = f"{self.file_name}:{self.line}:{self.column}"
+        return f"{position}: {self.path or 'document'}: {self.rule}; {self.right}"
--- a/chestnuthall/adapters/documents/_rules.py
+++ b/chestnuthall/adapters/documents/_rules.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator
 from typing import Any, Final
 
-from chestnuthall.adapters.commentedjson import BrokenRule, CrossCheck
+from chestnuthall.adapters.commentedjson import CrossCheck, RuleViolation
 
 # Least share of a class as a fraction of the sum of all shares. A class below it
 # would in practice never be served while the other classes have requests.
@@ -32,7 +32,7 @@
     return float(value)
 
 
-def check_shares(value: Any) -> Iterator[BrokenRule]:
+def check_shares(value: Any) -> Iterator[RuleViolation]:
     """Yield classes whose share is too small a fraction of all shares."""
     shares = {
         name: _number_field(item, "share")
@@ -44,10 +44,10 @@
         if share < share_min:
             rule = f"{share:g} is less than {SHARE_RATIO_MIN:g} of all shares"
             path = ("classes", name, "share")
-            yield BrokenRule(path, rule, f"write at least {share_min:g}")
+            yield RuleViolation(path, rule, f"write at least {share_min:g}")
 
 
-def check_deadlines(value: Any) -> Iterator[BrokenRule]:
+def check_deadlines(value: Any) -> Iterator[RuleViolation]:
     """Yield soft deadlines and objectives that do not fit the deadline."""
     for name, item in _named_objects(value, "classes"):
         deadline_ms = _number_field(item, "deadline_ms")
@@ -55,33 +55,33 @@
             continue
         soft_ms = _number_field(item, "soft_deadline_ms")
         if soft_ms is not None and soft_ms >= deadline_ms:
-            yield BrokenRule(
+            yield RuleViolation(
                 ("classes", name, "soft_deadline_ms"),
                 f"{soft_ms:g} is not before the deadline of {deadline_ms:g} ms",
                 f"write less than {deadline_ms:g}",
             )
         latency_ms = _number_field(item.get("objective"), "latency_ms")
         if latency_ms is not None and latency_ms > deadline_ms:
-            yield BrokenRule(
+            yield RuleViolation(
                 ("classes", name, "objective", "latency_ms"),
                 f"{latency_ms:g} is after the deadline of {deadline_ms:g} ms",
                 f"write at most {deadline_ms:g}",
             )
 
 
-def check_soft_deadline_floors(value: Any) -> Iterator[BrokenRule]:
+def check_soft_deadline_floors(value: Any) -> Iterator[RuleViolation]:
     """Yield classes whose soft deadline allows empty answers."""
     for name, item in _named_objects(value, "classes"):
         floor_ratio = _number_field(item, "coverage_floor_ratio", 0.0)
         if _number_field(item, "soft_deadline_ms") is not None and floor_ratio == 0.0:
-            yield BrokenRule(
+            yield RuleViolation(
                 ("classes", name, "soft_deadline_ms"),
                 "with a coverage floor of 0, answers may be empty from this time on",
                 "write a coverage_floor_ratio above 0, or no soft deadline",
             )
 
 
-def check_reserved_ratios(value: Any) -> Iterator[BrokenRule]:
+def check_reserved_ratios(value: Any) -> Iterator[RuleViolation]:
     """Yield groups whose reserved ratios add up to more than 1."""
     for name, item in _named_objects(value, "groups"):
         reserved = item.get("reserved_ratios")
@@ -89,35 +89,35 @@
             continue
         total = sum(_number_field(reserved, kind) or 0.0 for kind in reserved)
         if total > 1.0 + ROUNDING_TOLERANCE:
-            yield BrokenRule(
+            yield RuleViolation(
                 ("groups", name, "reserved_ratios"),
                 f"the ratios add up to {total:g}",
                 "let them add up to at most 1",
             )
 
 
-def check_connections(value: Any) -> Iterator[BrokenRule]:
+def check_connections(value: Any) -> Iterator[RuleViolation]:
     """Yield groups with fewer connections than slots per replica."""
     for name, item in _named_objects(value, "groups"):
         n_slots = _number_field(item, "n_slots")
         n_connections = _number_field(item, "n_connections_max")
         if n_slots is None or n_connections is None or n_connections >= n_slots:
             continue
-        yield BrokenRule(
+        yield RuleViolation(
             ("groups", name, "n_connections_max"),
             f"{n_connections:g} connections cannot fill {n_slots:g} slots",
             f"write at least {n_slots:g}",
         )
 
 
-def check_extra_load(value: Any) -> Iterator[BrokenRule]:
+def check_extra_load(value: Any) -> Iterator[RuleViolation]:
     """Yield extra-load thresholds that are out of order."""
     policy = value.get("extra_load") if isinstance(value, dict) else None
     full_below = _number_field(policy, "full_below_ratio", 0.70)
     none_above = _number_field(policy, "none_above_ratio", 0.95)
     if full_below is None or none_above is None or full_below < none_above:
         return
-    yield BrokenRule(
+    yield RuleViolation(
         ("extra_load", "full_below_ratio"),
         f"{full_below:g} is not below none_above_ratio, which is {none_above:g}",
         f"write less than {none_above:g}",
--- a/chestnuthall/adapters/settings/_models.py
+++ b/chestnuthall/adapters/settings/_models.py
@@ -6,7 +6,7 @@
 from pydantic import BaseModel, ConfigDict, Field
 
 from chestnuthall.adapters.commentedjson import (
-    BrokenRule,
+    RuleViolation,
     check_text,
     describe_problems,
 )
@@ -75,12 +75,12 @@
     """Minimum severity of the lines that are logged."""
 
 
-def check_addresses(value: Any) -> Iterator[BrokenRule]:
+def check_addresses(value: Any) -> Iterator[RuleViolation]:
     """Yield addresses that two listeners of the instance would share."""
     if not isinstance(value, dict) or not value.get("caller_address"):
         return
     if value["caller_address"] == value.get("peer_address"):
-        yield BrokenRule(
+        yield RuleViolation(
             ("peer_address",),
             "it equals caller_address",
             "give the two listeners different ports",
--- a/chestnuthall/adapters/settings/_profile.py
+++ b/chestnuthall/adapters/settings/_profile.py
@@ -6,7 +6,7 @@
 from pydantic import BaseModel, ConfigDict, Field
 
 from chestnuthall.adapters.commentedjson import (
-    BrokenRule,
+    RuleViolation,
     check_text,
     describe_problems,
 )
@@ -41,13 +41,13 @@
     document before promotion."""
 
 
-def check_environments(value: Any) -> Iterator[BrokenRule]:
+def check_environments(value: Any) -> Iterator[RuleViolation]:
     """Yield a production environment that equals the trial environment."""
     if not isinstance(value, dict):
         return
     production = value.get("production_environment", "production")
     if production == value.get("trial_environment", "trial"):
-        yield BrokenRule(
+        yield RuleViolation(
             ("production_environment",),
             "it equals trial_environment",
             "name two different environments",
