--- a/chestnuthall/adapters/__init__.py
+++ b/chestnuthall/adapters/__init__.py
@@ -1,1 +1,1 @@
-"""The outside world: HTTP, gRPC, statsd, settings, documents and logs."""
+"""Adapters: HTTP, gRPC, statsd, settings, documents and logs."""
--- a/chestnuthall/adapters/clock/__init__.py
+++ b/chestnuthall/adapters/clock/__init__.py
@@ -1,4 +1,4 @@
-"""The clock of an instance, on its event loop and before the loop runs."""
+"""Clocks of an instance, with and without a running event loop."""
 
 from chestnuthall.adapters.clock._loop_clock import LoopClock, monotonic_ms
 
--- a/chestnuthall/adapters/clock/_loop_clock.py
+++ b/chestnuthall/adapters/clock/_loop_clock.py
@@ -5,9 +5,9 @@
 
 
 def monotonic_ms() -> float:
-    """Return the monotonic time in milliseconds where no event loop runs.
+    """Return the monotonic time in milliseconds, without a running event loop.
 
-    The log limits its lines before the loop of the daemon starts.
+    The rate limit of the log needs the time before the daemon's event loop starts.
     """
     return time.monotonic() * 1000.0
 
@@ -15,8 +15,8 @@
 class LoopClock:
     """Reads the event loop's time, so that a virtual-time loop drives it too.
 
-    ``wall_offset_ms`` is added to the system's wall clock; with a virtual
-    loop, ``wall_from_loop`` makes the wall clock follow the loop.
+    ``wall_offset_ms`` is added to the wall clock. With ``wall_from_loop``, the wall
+    clock follows the time of the loop, which may be virtual, instead of the system's.
     """
 
     def __init__(
@@ -36,5 +36,5 @@
         return time.time() * 1000.0 + self._wall_offset_ms
 
     async def sleep_ms(self, duration_ms: float) -> None:
-        """Wait for a duration; a negative one returns at the next turn."""
+        """Sleep; a negative duration only yields to the event loop once."""
         await asyncio.sleep(max(0.0, duration_ms) / 1000.0)
--- a/chestnuthall/tests/test_platform_names.py
+++ b/chestnuthall/tests/test_platform_names.py
@@ -1,4 +1,8 @@
-"""Guards the rule that only the platform folder knows the platform's names."""
+"""Tests that only :mod:`chestnuthall.platform` depends on the platform's names.
+
+Guards against other code that uses a header, setting or stored field of the platform,
+or that imports the platform's package.
+"""
 
 import re
 from pathlib import Path
@@ -9,8 +13,9 @@
 
 PACKAGE = Path(chestnuthall.__file__).parent
 ROOT = PACKAGE.parent
-# Names of the platform's wire, settings and store that the product never uses.
-NAMES = (
+# Names in the platform's protocols, settings and stored objects that all other code
+# must not use.
+PLATFORM_NAMES = (
     "X-Server-Stamp",
     "X-Part-Stamps",
     "X-Missing-Parts",
@@ -27,7 +32,7 @@
     "StableWindowMs",
     "CHESTNUTHALL_BOOT",
 )
-PATTERN = re.compile("|".join(map(re.escape, NAMES)), re.IGNORECASE)
+PATTERN = re.compile("|".join(map(re.escape, PLATFORM_NAMES)), re.IGNORECASE)
 SOURCES = sorted(
     path
     for folder in ("chestnuthall", "benchmarks", "examples")
@@ -37,7 +42,7 @@
 
 
 @pytest.mark.parametrize("path", SOURCES, ids=lambda path: str(path.relative_to(ROOT)))
-def test_source_names_nothing_of_the_platform(path):
+def test_source_does_not_refer_to_the_platform(path):
     found = PATTERN.findall(path.read_text())
     assert not found
     assert "chestnuthall.platform" not in path.read_text()
--- a/chestnuthall/tests/test_promises.py
+++ b/chestnuthall/tests/test_promises.py
@@ -1,4 +1,8 @@
-"""Guards docs/PROMISES.md against naming a test that does not exist."""
+"""Tests that docs/PROMISES.md is complete and names existing tests.
+
+Guards against a test that was renamed or deleted while the page still names it, and
+against a promise or failure without a row.
+"""
 
 import re
 from pathlib import Path
@@ -7,10 +11,10 @@
 
 PACKAGE = Path(__file__).parents[1]
 PAGE = PACKAGE.parent / "docs" / "PROMISES.md"
-NAMED = sorted(set(re.findall(r"`([a-z_/]+\.py::\w+)`", PAGE.read_text())))
+TESTS_ON_PAGE = sorted(set(re.findall(r"`([a-z_/]+\.py::\w+)`", PAGE.read_text())))
 
 
-@pytest.mark.parametrize("name", NAMED)
+@pytest.mark.parametrize("name", TESTS_ON_PAGE)
 def test_named_test_exists(name):
     path, _, test = name.partition("::")
     source = (PACKAGE / path).read_text()
