--- a/chestnuthall/daemon/__init__.py
+++ b/chestnuthall/daemon/__init__.py
@@ -1,4 +1,4 @@
-"""The daemon ``chestnuthalld``: one entry instance."""
+"""The daemon ``chestnuthalld``, which runs one entry instance."""
 
 from chestnuthall.daemon._instance import EntryInstance
 from chestnuthall.daemon._main import main
--- a/chestnuthall/daemon/__main__.py
+++ b/chestnuthall/daemon/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the daemon as ``python -m chestnuthall.daemon``."""
+"""Run the daemon as ``python -m chestnuthall.daemon``."""
 
 from chestnuthall.daemon import main
 
--- a/chestnuthall/daemon/_instance.py
+++ b/chestnuthall/daemon/_instance.py
@@ -61,21 +61,22 @@
     TwoLevelFanOut,
 )
 
-# The exit does not wait longer for a store that is down.
-REPORT_TIMEOUT_MS = 3_000.0
+# Limits how long an unavailable store can delay the exit of the process.
+LEAVE_REPORT_TIMEOUT_MS = 3_000.0
 
 _log = logging.getLogger(__name__)
 
-LOG_REPORT_INTERVAL_MS = 10_000.0
-# Peers that an instance tells of a new revision at once; with three, news
-# crosses 1,900 instances in seven rounds.
-N_PEERS_TOLD = 3
-# Peers that hear at once of a request that lost a replica: all of a small fleet.
-# In a larger one the others hear of it with the probes between instances.
-N_WARNED_PEERS = 16
+DROPPED_LINES_INTERVAL_MS = 10_000.0
+# Number of peers that an instance notifies of a new revision immediately. With
+# three, a revision reaches 1,900 instances in seven rounds.
+N_PEERS_PER_REVISION_UPDATE = 3
+# Number of peers that are notified immediately of a request that lost a replica.
+# This covers all of a small fleet; in a larger one the other instances receive the
+# notice with the periodic probes.
+N_PEERS_PER_LOSS_NOTICE = 16
 
 
-def _metrics(settings: InstanceSettings) -> Metrics:
+def _make_metrics(settings: InstanceSettings) -> Metrics:
     statsd = settings.statsd
     if statsd is None:
         return NullMetrics()
@@ -83,13 +84,13 @@
 
 
 def _read_list_entry(text: str) -> ListEntry | None:
-    """Return an entry of the platform's list, or None if it is invalid."""
+    """Parse an entry of the platform's instance list; None if it is invalid."""
     model = read_instance(text)
     return None if isinstance(model, Failure) else model.to_core()
 
 
 class EntryInstance:
-    """One entry instance with its listeners and background work."""
+    """One entry instance with its listeners and background tasks."""
 
     def __init__(
         self, settings: InstanceSettings, log_limit: RateLimitFilter | None = None
@@ -100,7 +101,7 @@
         clock = LoopClock()
         random = Random()
         identity = Identity(settings.name, settings.peer_address, settings.zone)
-        metrics = _metrics(settings)
+        metrics = _make_metrics(settings)
         store = CountedObjectStore(
             HttpObjectStore(settings.store_address), metrics, clock
         )
@@ -123,7 +124,7 @@
         )
         self.instances = InstanceList(store, clock, _read_list_entry)
         admissions = Admissions(clock)
-        self.fleet_use = FleetUse(
+        self.fleet_usage = FleetUse(
             self.settings.name, clock, admissions, lambda: self.membership.members()
         )
         self.membership = Membership(
@@ -133,29 +134,35 @@
             self.configuration,
             self.instances,
             random,
-            parts=(self.fleet_use,),
+            parts=(self.fleet_usage,),
         )
-        self.drains = DrainNews(
+        self.drain_exchange = DrainNews(
             self.directory,
             clock,
             self.instances,
             self.membership.spread_now,
             settings.name,
         )
-        quarantine = QuarantineRegister(QuarantineSettings())
-        self.quarantines = QuarantineNews(
-            quarantine,
+        quarantine_registry = QuarantineRegister(QuarantineSettings())
+        self.quarantine_exchange = QuarantineNews(
+            quarantine_registry,
             clock,
             self.membership.spread_now,
             self.directory.zone_of,
         )
-        self.membership.add_part(self.drains)
-        self.membership.add_part(self.quarantines)
+        self.membership.add_part(self.drain_exchange)
+        self.membership.add_part(self.quarantine_exchange)
         self.health_checks = HealthChecks(
-            self.caller, self.directory, self.drains, self.membership, clock, random
+            self.caller,
+            self.directory,
+            self.drain_exchange,
+            self.membership,
+            clock,
+            random,
         )
         self.burn = BurnRecorder(
-            # Each run of the process numbers its changes from 1.
+            # Each run of the process numbers its ledger changes from 1, so it
+            # needs a writer name of its own.
             writer=f"{settings.name}.{token_hex(4)}",
             environment=settings.environment,
             store=store,
@@ -177,16 +184,16 @@
             identity=identity,
             clock=clock,
             metrics=metrics,
-            caller=DrainWatchingCaller(self.caller, self.drains.signal),
+            caller=DrainWatchingCaller(self.caller, self.drain_exchange.signal),
             directory=self.directory,
             configuration=self.configuration,
             ledger=self.ledger,
-            quarantine=quarantine,
+            quarantine=quarantine_registry,
             admissions=admissions,
             record_outcome=OutcomeRecorder(
                 self.burn, metrics, self.configuration
             ).record,
-            spread=lambda: self.membership.spread_now(N_WARNED_PEERS),
+            spread=lambda: self.membership.spread_now(N_PEERS_PER_LOSS_NOTICE),
             n_instances=lambda: self.membership.n_instances,
         )
         self.connections = ConnectionBudgets(
@@ -195,15 +202,15 @@
             self.configuration,
             lambda: self.membership.counts.n_connection_holders,
         )
-        self.configuration.on_change(self._spread)
+        self.configuration.on_change(self._disseminate_revision)
         if settings.two_level_fan_out:
-            self._divide_searches(clock)
+            self._enable_two_level_fan_out(clock)
         self.administration = Administration(
             identity,
             self.lifecycle,
             self.directory,
-            self.drains,
-            self.quarantines,
+            self.drain_exchange,
+            self.quarantine_exchange,
             clock,
         )
         self.status = StatusReporter(
@@ -215,7 +222,7 @@
             (
                 ConfigurationStatus(self.configuration, clock),
                 FleetStatus(self.lifecycle, self.membership),
-                NewsStatus(self.drains, self.quarantines),
+                NewsStatus(self.drain_exchange, self.quarantine_exchange),
             ),
         )
         self.membership.on_superseded(self.lifecycle.announce_leave)
@@ -229,14 +236,14 @@
             admin_routes=AdminRoutes(self.administration).routes(),
         )
         self.http_server = HttpServer(
-            self.frontend.handle, _server_limits(settings), respond_to_http_error
+            self.frontend.handle, _make_server_limits(settings), respond_to_http_error
         )
         self.peer_server = GrpcPeerServer(self.membership)
         self._tasks: list[asyncio.Task[None]] = []
-        self._spreading: set[asyncio.Task[None]] = set()
+        self._dissemination_tasks: set[asyncio.Task[None]] = set()
 
     def _is_watcher(self) -> bool:
-        """Return whether this instance watches the store for its zone."""
+        """Return whether this instance watches the store on behalf of its zone."""
         zone = self.settings.zone
         members = self.membership.members()
         names = [member.name for member in members if member.zone == zone]
@@ -247,7 +254,7 @@
         return self.configuration.is_ready and self.directory.has_maps()
 
     def read_status(self) -> dict[str, object]:
-        """Return what ``GET /v1/admin/status`` shows."""
+        """Return the response body of ``GET /v1/admin/status``."""
         in_force = self.configuration.in_force
         return {
             "instance": self.settings.name,
@@ -265,15 +272,15 @@
             "peers": [member.name for member in self.membership.members()],
         }
 
-    def _spread(self, configuration: Configuration) -> None:
-        """Tell some peers of a new revision before the next probe would."""
+    def _disseminate_revision(self, configuration: Configuration) -> None:
+        """Notify some peers of a new revision without waiting for the next probe."""
         task = asyncio.get_running_loop().create_task(
-            self.membership.spread_now(N_PEERS_TOLD)
+            self.membership.spread_now(N_PEERS_PER_REVISION_UPDATE)
         )
-        self._spreading.add(task)
-        task.add_done_callback(self._spreading.discard)
+        self._dissemination_tasks.add(task)
+        task.add_done_callback(self._dissemination_tasks.discard)
 
-    def _divide_searches(self, clock: LoopClock) -> None:
+    def _enable_two_level_fan_out(self, clock: LoopClock) -> None:
         two_level = TwoLevelFanOut(
             self.membership,
             self.transport,
@@ -286,7 +293,7 @@
         self.membership.set_shard_set_handler(two_level.answer)
 
     async def start(self) -> None:
-        """Listen for callers and peers and start the background work."""
+        """Listen for callers and peers and start the background tasks."""
         await self.peer_server.start(self.settings.peer_address)
         host, _, port = self.settings.caller_address.rpartition(":")
         await self.http_server.start(host, int(port))
@@ -297,9 +304,9 @@
             loop.create_task(self.connections.run()),
             loop.create_task(self.instances.run()),
             loop.create_task(self.membership.run()),
-            loop.create_task(self.fleet_use.run()),
+            loop.create_task(self.fleet_usage.run()),
             loop.create_task(self.health_checks.run()),
-            loop.create_task(self.quarantines.run()),
+            loop.create_task(self.quarantine_exchange.run()),
             loop.create_task(self.status.run()),
             loop.create_task(self.burn.run()),
             loop.create_task(self._report_dropped_lines()),
@@ -308,11 +315,11 @@
 
     async def _report_dropped_lines(self) -> None:
         while self._log_limit is not None:
-            await self._clock.sleep_ms(LOG_REPORT_INTERVAL_MS)
+            await self._clock.sleep_ms(DROPPED_LINES_INTERVAL_MS)
             self._log_limit.report_dropped()
 
     async def run(self) -> None:
-        """Serve until a stop is announced, then finish what is in flight."""
+        """Serve until a leave is announced, then complete requests in flight."""
         try:
             await self.start()
             await self.lifecycle.wait_leave()
@@ -330,21 +337,24 @@
         _log.info("instance stopped")
 
     async def _report_leave(self) -> None:
-        """Tell peers, operators and the platform; a failure stops nothing."""
-        work = asyncio.gather(
+        """Report the leave to peers, operators and the platform.
+
+        A report that fails or times out does not prevent the exit.
+        """
+        reports = asyncio.gather(
             self.membership.announce_leave(),
             self.status.write(),
             self.instances.report_leaving(self.settings.name, mark_leaving),
         )
         try:
-            async with asyncio.timeout(REPORT_TIMEOUT_MS / 1000.0):
-                await work
+            async with asyncio.timeout(LEAVE_REPORT_TIMEOUT_MS / 1000.0):
+                await reports
         except TimeoutError:
             _log.warning("the store did not take the leave report in time")
 
     async def close(self) -> None:
-        """Stop the background work and close everything."""
-        for task in (*self._tasks, *self._spreading):
+        """Cancel the background tasks and close listeners and clients."""
+        for task in (*self._tasks, *self._dissemination_tasks):
             task.cancel()
         await self.ledger.close()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -354,7 +364,7 @@
         self.caller.close()
 
 
-def _server_limits(settings: InstanceSettings) -> ServerLimits:
+def _make_server_limits(settings: InstanceSettings) -> ServerLimits:
     limits = settings.limits
     return ServerLimits(
         n_header_bytes_max=limits.n_header_bytes_max,
--- a/chestnuthall/daemon/_main.py
+++ b/chestnuthall/daemon/_main.py
@@ -1,4 +1,4 @@
-"""Entry point of the daemon."""
+"""Command-line entry point of the daemon."""
 
 import asyncio
 import signal
@@ -13,7 +13,7 @@
 from chestnuthall.core.results import Failure
 from chestnuthall.daemon._instance import EntryInstance
 
-EXIT_BAD_SETTINGS = 2
+EXIT_INVALID_SETTINGS = 2
 
 app = App(name="chestnuthalld", help="Run one entry instance of chestnuthall.")
 
@@ -30,27 +30,27 @@
     try:
         text = settings_file.read_text()
     except OSError as error:
-        _fail(f"cannot read {settings_file}: {error.strerror}")
+        _exit_with_error(f"cannot read {settings_file}: {error.strerror}")
     settings = read_settings(text, str(settings_file))
     if isinstance(settings, Failure):
-        _fail(settings.reason)
+        _exit_with_error(settings.reason)
     log_limit = set_up_logs(settings.log_level, settings.name)
     asyncio.run(_run(settings, log_limit))
 
 
-def _fail(message: str) -> NoReturn:
+def _exit_with_error(message: str) -> NoReturn:
     print(message, file=sys.stderr)
-    raise SystemExit(EXIT_BAD_SETTINGS)
+    raise SystemExit(EXIT_INVALID_SETTINGS)
 
 
 async def _run(settings: InstanceSettings, log_limit: RateLimitFilter) -> None:
     instance = EntryInstance(settings, log_limit)
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, instance.lifecycle.announce_leave)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, instance.lifecycle.announce_leave)
     await instance.run()
 
 
 def main() -> None:
-    """Run the command line of the daemon."""
+    """Run the command-line interface of the daemon."""
     app()
