--- a/chestnuthall/daemon/tests/store_world.py
+++ b/chestnuthall/daemon/tests/shared_store_fleet.py
@@ -1,4 +1,4 @@
-"""Services of several instances on one in-memory store, in virtual time."""
+"""Services of several instances that share an in-memory store, in virtual time."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -57,10 +57,13 @@
 
 
 @dataclass
-class StoreWorld:
-    """``n`` instances; the wall clock is the loop's time plus an hour."""
+class SharedStoreFleet:
+    """Claim ledgers and configuration keepers of ``n_instances`` instances.
 
-    n: int = 3
+    The wall clock is the loop's time plus one hour.
+    """
+
+    n_instances: int = 3
     ledger_settings: LedgerSettings = field(default_factory=LedgerSettings)
     watchers: tuple[int, ...] = (0, 1, 2)
     seed: int = 1
@@ -68,13 +71,15 @@
     def __post_init__(self):
         self.service = ObjectService()
         self.clock = LoopClock(3_600_000.0, wall_from_loop=True)
-        self.clients = [MemoryObjectStore(self.service) for _ in range(self.n)]
+        self.clients = [
+            MemoryObjectStore(self.service) for _ in range(self.n_instances)
+        ]
         self.stores = [
             CountedObjectStore(client, NullMetrics(), self.clock)
             for client in self.clients
         ]
-        self.ledgers = [self.new_ledger(index) for index in range(self.n)]
-        self.keepers = [self.new_keeper(index) for index in range(self.n)]
+        self.ledgers = [self.new_ledger(index) for index in range(self.n_instances)]
+        self.keepers = [self.new_keeper(index) for index in range(self.n_instances)]
         self.dispatched = {}
         self.refused = {}
 
@@ -84,7 +89,7 @@
             self.clock,
             JsonPartitionCodec(),
             self.ledger_settings,
-            lambda: self.n,
+            lambda: self.n_instances,
             Random(self.seed + index),
         )
 
@@ -106,7 +111,7 @@
         )
 
     async def mutate(self, index, key, name, deadline_ms=1_000.0, is_refused=False):
-        """Claim a key on an instance, then dispatch it or abandon it."""
+        """Claim a key at an instance, then record a dispatch or abandon the claim."""
         now_ms = self.clock.now_ms()
         ledger = self.ledgers[index]
         request = mutation(key, self.clock.wall_ms(), now_ms + deadline_ms, name)
@@ -120,23 +125,23 @@
         return claim
 
     async def accept(self, revision, document=DOCUMENT):
-        """Write a revision as the operators' tool does; return its text."""
+        """Write a revision as the operators' command does and return its text."""
         text = configuration_text(revision, document)
         self.service.table.put("environments", ENVIRONMENT, text, None)
         return text
 
-    async def tell_peers(self):
-        """Exchange confirmations and configurations once a second."""
+    async def run_peer_exchange(self):
+        """Exchange configurations and confirmations between peers once a second."""
         random = Random(self.seed)
         while True:
             await asyncio.sleep(1.0)
             for keeper in self.keepers:
                 other = random.choice(self.keepers)
-                self.pass_on(other, keeper)
-                self.pass_on(keeper, other)
+                self.send_configuration(other, keeper)
+                self.send_configuration(keeper, other)
 
     @staticmethod
-    def pass_on(sender, receiver):
+    def send_configuration(sender, receiver):
         if sender.in_force is not None:
             receiver.offer_text(sender.in_force.stored_text, "peer")
             receiver.confirm(sender.revision, sender.confirmation_age_ms)
--- a/chestnuthall/daemon/tests/test_claims_on_store.py
+++ b/chestnuthall/daemon/tests/test_claims_on_store.py
@@ -1,7 +1,10 @@
-"""Guards claims against faults of the store, alone and in pairs.
+"""Tests of idempotency-key claims under faults of the store.
 
-The table crosses the step of the protocol at which a fault begins with the
-fault. Each case runs the real services on the in-memory store in virtual time.
+A lost, late or ambiguous store write must not lead to a key that is dispatched
+twice, or to a refusal that wrongly says that the request did not run. The matrix
+combines the step of the protocol at which a fault begins with each fault, and with
+pairs of faults. Each case runs the real services on the in-memory store in virtual
+time.
 """
 
 import asyncio
@@ -11,7 +14,7 @@
 
 from chestnuthall.core.claims import LedgerSettings
 from chestnuthall.core.results import Failure, RunState
-from chestnuthall.daemon.tests.store_world import StoreWorld
+from chestnuthall.daemon.tests.shared_store_fleet import SharedStoreFleet
 from chestnuthall.standins.objectapi import LostAnswer, Outage, StoreFaults
 from chestnuthall.standins.virtual_time import run_virtual
 
@@ -22,36 +25,36 @@
     "short-outage": {"outage": Outage.ERROR_503, "outage_ms": 30.0},
     "slow": {"delay_ms": 50.0},
     "too-slow": {"delay_ms": 700.0},
-    "lost-withheld": {"n_lost_write_answers": 1},
-    "lost-cut": {"n_lost_write_answers": 2, "lost_answer": LostAnswer.CUT},
-    "lost-500": {"n_lost_write_answers": 3, "lost_answer": LostAnswer.ERROR_500},
-    "late": {"n_late_writes": 1, "late_write_ms": 550.0},
-    "later": {"n_late_writes": 2, "late_write_ms": 1_500.0},
+    "answer-withheld": {"n_lost_write_answers": 1},
+    "answer-truncated": {"n_lost_write_answers": 2, "lost_answer": LostAnswer.CUT},
+    "answer-500": {"n_lost_write_answers": 3, "lost_answer": LostAnswer.ERROR_500},
+    "late-write": {"n_late_writes": 1, "late_write_ms": 550.0},
+    "later-writes": {"n_late_writes": 2, "late_write_ms": 1_500.0},
     "stale-reads": {"stale_read_ms": 200.0},
     "rate-limit": {"n_calls_per_s_max": 3},
 }
 STEPS = {
     "before-first-claim": 0.0,
-    "write-under-way": 0.002,
+    "during-write": 0.002,
     "between-claims": 0.25,
     "before-resend": 0.8,
 }
 
 
-async def run_mutations(world, step_s, faults):
-    """Send keys to three instances, and most of them again to another one."""
-    world.service.set_faults(StoreFaults(delay_ms=3.0))
+async def run_mutations(fleet, step_s, faults):
+    """Send keys to three instances, then resend most of them to another instance."""
+    fleet.service.set_faults(StoreFaults(delay_ms=3.0))
     tasks = []
 
-    def send(*arguments, **options):
-        work = world.mutate(*arguments, **options)
+    def send(*args, **kwargs):
+        work = fleet.mutate(*args, **kwargs)
         tasks.append(asyncio.get_running_loop().create_task(work))
 
     async def inject():
         await asyncio.sleep(step_s)
-        world.service.set_faults(StoreFaults(**{"delay_ms": 3.0, **faults}))
+        fleet.service.set_faults(StoreFaults(**{"delay_ms": 3.0, **faults}))
 
-    injecting = asyncio.get_running_loop().create_task(inject())
+    injection = asyncio.get_running_loop().create_task(inject())
     for burst in range(4):
         for index in range(3):
             send(index, f"shared-{burst}", f"shared-{burst}-{index}")
@@ -66,35 +69,35 @@
             name = f"refused-{burst}-{index}"
             send((index + 1) % 3, name, f"{name}-again")
     results = await asyncio.gather(*tasks)
-    await injecting
+    await injection
     await asyncio.sleep(4.0)
     return results
 
 
-async def check_after(world):
-    """The protocol recovers: a new key is claimed on each instance."""
-    world.service.set_faults(StoreFaults())
+async def check_recovery(fleet):
+    """Check that each instance can claim a new key after the fault has ended."""
+    fleet.service.set_faults(StoreFaults())
     await asyncio.sleep(2.0)
-    late = [await world.mutate(i, f"after-{i}", f"after-{i}") for i in range(3)]
-    assert not any(isinstance(item, Failure) for item in late)
+    claims = [await fleet.mutate(i, f"after-{i}", f"after-{i}") for i in range(3)]
+    assert not any(isinstance(item, Failure) for item in claims)
 
 
 def run_matrix_case(step_s, faults):
     async def scenario():
-        # One partition makes every claim of the three instances contend.
-        world = StoreWorld(ledger_settings=LedgerSettings(n_partitions=1))
-        await run_mutations(world, step_s, faults)
-        await check_after(world)
-        for ledger in world.ledgers:
+        # With a single partition all claims of the three instances contend.
+        fleet = SharedStoreFleet(ledger_settings=LedgerSettings(n_partitions=1))
+        await run_mutations(fleet, step_s, faults)
+        await check_recovery(fleet)
+        for ledger in fleet.ledgers:
             await ledger.close()
-        return world
+        return fleet
 
-    world = run_virtual(scenario())
-    assert all(len(names) == 1 for names in world.dispatched.values())
-    dispatched = {name for names in world.dispatched.values() for name in names}
-    not_run = {n for n, kind in world.refused.items() if kind.run is RunState.NO}
+    fleet = run_virtual(scenario())
+    assert all(len(names) == 1 for names in fleet.dispatched.values())
+    dispatched = {name for names in fleet.dispatched.values() for name in names}
+    not_run = {n for n, kind in fleet.refused.items() if kind.run is RunState.NO}
     assert not dispatched & not_run
-    return world
+    return fleet
 
 
 PAIRS = [
@@ -107,38 +110,38 @@
 @pytest.mark.parametrize("fault", FAULTS)
 @pytest.mark.parametrize("step", STEPS)
 def test_fault_at_step(step, fault):
-    """A key must run at most once, and "not run" be true, under each fault."""
+    """A key must run at most once, and a reported "not run" must be true."""
     run_matrix_case(STEPS[step], FAULTS[fault])
 
 
 @pytest.mark.parametrize(("first", "second"), PAIRS)
 def test_pair_of_faults(first, second):
-    """Two faults together must not break what each alone keeps."""
-    run_matrix_case(STEPS["write-under-way"], {**FAULTS[first], **FAULTS[second]})
+    """The guarantees under a single fault must also hold under two at once."""
+    run_matrix_case(STEPS["during-write"], {**FAULTS[first], **FAULTS[second]})
 
 
-def run_world(scenario, **options):
+def run_with_fleet(scenario, **kwargs):
     async def run():
-        world = StoreWorld(**options)
+        fleet = SharedStoreFleet(**kwargs)
         try:
-            return await scenario(world)
+            return await scenario(fleet)
         finally:
-            for ledger in world.ledgers:
+            for ledger in fleet.ledgers:
                 await ledger.close()
 
     return run_virtual(run())
 
 
-def test_calm_run_dispatches_every_key_once():
-    """Without a fault every key must be dispatched, resends refused."""
-    world = run_matrix_case(0.0, {})
+def test_every_key_is_dispatched_once_without_faults():
+    """Without a fault every key must be dispatched and its resends refused."""
+    fleet = run_matrix_case(0.0, {})
     n_own, n_shared, n_released, n_after = 12, 4, 12, 3
-    assert len(world.dispatched) == n_own + n_shared + n_released + n_after
-    assert {kind.name for kind in world.refused.values()} == {"KEY_ALREADY_CLAIMED"}
+    assert len(fleet.dispatched) == n_own + n_shared + n_released + n_after
+    assert {kind.name for kind in fleet.refused.values()} == {"KEY_ALREADY_CLAIMED"}
 
 
 @pytest.mark.parametrize(
-    ("faults", "longest_ms", "names"),
+    ("faults", "duration_max_ms", "expected_codes"),
     [
         ({"outage": Outage.REFUSED}, 1.0, {"STORE_UNAVAILABLE"}),
         ({"outage": Outage.ERROR_503}, 1.0, {"STORE_UNAVAILABLE"}),
@@ -146,37 +149,37 @@
     ],
     ids=["refused", "503", "hanging"],
 )
-def test_store_down_refuses_quickly(faults, longest_ms, names):
-    """A mutation must not wait out an outage; later ones fail at once."""
+def test_unavailable_store_fails_fast(faults, duration_max_ms, expected_codes):
+    """A mutation must not wait for an outage to end; later ones fail immediately."""
 
-    async def scenario(world):
-        world.service.set_faults(StoreFaults(**faults))
+    async def scenario(fleet):
+        fleet.service.set_faults(StoreFaults(**faults))
         durations_ms, kinds = [], set()
         for n in range(20):
-            started_ms = world.clock.now_ms()
-            result = await world.mutate(0, f"key-{n}", f"r{n}", 5_000.0)
-            durations_ms.append(world.clock.now_ms() - started_ms)
+            started_ms = fleet.clock.now_ms()
+            result = await fleet.mutate(0, f"key-{n}", f"r{n}", 5_000.0)
+            durations_ms.append(fleet.clock.now_ms() - started_ms)
             kinds.add(result.kind.name)
             assert result.kind.run is RunState.NO
-        return durations_ms, kinds, sum(world.stores[0].calls_in_last_minute().values())
+        return durations_ms, kinds, sum(fleet.stores[0].calls_in_last_minute().values())
 
-    durations_ms, kinds, n_calls = run_world(scenario)
-    assert kinds == names
-    assert durations_ms[0] <= longest_ms
+    durations_ms, kinds, n_calls = run_with_fleet(scenario)
+    assert kinds == expected_codes
+    assert durations_ms[0] <= duration_max_ms
     assert max(durations_ms[1:]) <= 1.0
     assert n_calls <= 2
 
 
-def test_claims_of_a_partition_share_writes():
-    """A burst must not cost one write per key."""
+def test_claims_of_a_partition_are_batched():
+    """A burst of claims in one partition must not cost one write per key."""
 
-    async def scenario(world):
-        world.service.set_faults(StoreFaults(delay_ms=5.0))
-        work = [world.mutate(0, f"key-{n}", f"r{n}") for n in range(200)]
+    async def scenario(fleet):
+        fleet.service.set_faults(StoreFaults(delay_ms=5.0))
+        work = [fleet.mutate(0, f"key-{n}", f"r{n}") for n in range(200)]
         await asyncio.gather(*work)
-        return world.service.n_calls, len(world.dispatched)
+        return fleet.service.n_calls, len(fleet.dispatched)
 
-    n_calls, n_dispatched = run_world(
+    n_calls, n_dispatched = run_with_fleet(
         scenario, ledger_settings=LedgerSettings(n_partitions=1)
     )
     assert n_dispatched == 200
@@ -184,99 +187,107 @@
 
 
 def test_cache_saves_reads():
-    """An instance that is alone in a partition must read it once only."""
+    """The only instance that writes a partition must read it only once."""
 
-    async def scenario(world):
+    async def scenario(fleet):
         for n in range(10):
-            await world.mutate(0, f"key-{n}", f"r{n}")
-        return world.service.n_calls
+            await fleet.mutate(0, f"key-{n}", f"r{n}")
+        return fleet.service.n_calls
 
-    n_calls = run_world(scenario, ledger_settings=LedgerSettings(n_partitions=1))
+    n_calls = run_with_fleet(scenario, ledger_settings=LedgerSettings(n_partitions=1))
     assert n_calls == {"get claims": 1, "put claims": 10}
 
 
-def test_writes_stay_within_budget():
-    """Claims in many partitions must not exceed the fleet's rate of writes."""
+def test_writes_stay_within_rate_limit():
+    """Claims in many partitions must not exceed the fleet-wide write rate."""
 
-    async def scenario(world):
+    async def scenario(fleet):
         async def send(n):
             await asyncio.sleep(n / 400.0)
-            await world.mutate(n % 3, f"key-{n}", f"r{n}")
+            await fleet.mutate(n % 3, f"key-{n}", f"r{n}")
 
         await asyncio.gather(*(send(n) for n in range(2_000)))
-        assert {kind.name for kind in world.refused.values()} == {"RATE_LIMITED"}
-        return world.service.n_calls["put claims"], world.clock.now_ms() / 1000.0
+        assert {kind.name for kind in fleet.refused.values()} == {"RATE_LIMITED"}
+        return fleet.service.n_calls["put claims"], fleet.clock.now_ms() / 1000.0
 
-    n_writes, duration_s = run_world(
+    n_writes, duration_s = run_with_fleet(
         scenario, ledger_settings=LedgerSettings(n_partitions=1_000)
     )
     assert n_writes <= 250.0 * duration_s + 3 * 8
     assert n_writes >= 225.0 * duration_s
 
 
-@pytest.mark.parametrize("resumes_after_s", [1.0, 700.0], ids=["soon", "expired"])
-def test_paused_holder(resumes_after_s):
-    """A holder that resumes late must still be the only one for its key."""
-
-    async def scenario(world):
-        issued_ms = world.clock.wall_ms()
-        held = await world.mutate(0, "key-1", "first")
-        await asyncio.sleep(resumes_after_s)
-        await world.mutate(1, "other", "other")
-        world.clock = replace_wall(world, issued_ms)
-        again = await world.mutate(1, "key-1", "again")
-        return held, again
-
-    held, again = run_world(scenario, ledger_settings=LedgerSettings(n_partitions=1))
-    assert not isinstance(held, Failure)
-    expired = resumes_after_s > 600.0
-    assert again.kind.name == ("KEY_EXPIRED" if expired else "KEY_ALREADY_CLAIMED")
-    assert again.kind.run is RunState.UNKNOWN
+@pytest.mark.parametrize(
+    "resent_after_s", [1.0, 700.0], ids=["before-expiry", "expired"]
+)
+def test_resent_key_is_not_claimed_twice(resent_after_s):
+    """However late its holder resumes, a claimed key must be refused to others."""
+
+    async def scenario(fleet):
+        issued_at_ms = fleet.clock.wall_ms()
+        first_claim = await fleet.mutate(0, "key-1", "first")
+        await asyncio.sleep(resent_after_s)
+        await fleet.mutate(1, "other", "other")
+        fleet.clock = fixed_wall_clock(fleet, issued_at_ms)
+        second_claim = await fleet.mutate(1, "key-1", "again")
+        return first_claim, second_claim
+
+    first_claim, second_claim = run_with_fleet(
+        scenario, ledger_settings=LedgerSettings(n_partitions=1)
+    )
+    assert not isinstance(first_claim, Failure)
+    expired = resent_after_s > 600.0
+    assert second_claim.kind.name == (
+        "KEY_EXPIRED" if expired else "KEY_ALREADY_CLAIMED"
+    )
+    assert second_claim.kind.run is RunState.UNKNOWN
 
 
-def replace_wall(world, wall_ms):
-    """Return a clock that issues keys at a fixed wall time."""
+def fixed_wall_clock(fleet, wall_ms):
+    """Return the fleet's clock with its wall time fixed, to resend with an old time."""
 
-    class FixedWall:
-        now_ms = staticmethod(world.clock.now_ms)
+    class FixedWallClock:
+        now_ms = staticmethod(fleet.clock.now_ms)
 
         @staticmethod
         def wall_ms():
             return wall_ms
 
-    return FixedWall()
+    return FixedWallClock()
 
 
 def test_cancelled_caller_releases_its_key():
-    """A caller that leaves during the claim must not lock its key."""
+    """A caller that disconnects during the claim must not leave its key claimed."""
 
-    async def scenario(world):
-        world.service.set_faults(StoreFaults(delay_ms=20.0))
-        work = world.mutate(0, "key-1", "first")
+    async def scenario(fleet):
+        fleet.service.set_faults(StoreFaults(delay_ms=20.0))
+        work = fleet.mutate(0, "key-1", "first")
         task = asyncio.get_running_loop().create_task(work)
         await asyncio.sleep(0.03)
         task.cancel()
         await asyncio.sleep(0.5)
-        return await world.mutate(1, "key-1", "again")
+        return await fleet.mutate(1, "key-1", "again")
 
-    result = run_world(scenario, ledger_settings=LedgerSettings(n_partitions=1))
+    result = run_with_fleet(scenario, ledger_settings=LedgerSettings(n_partitions=1))
     assert not isinstance(result, Failure)
 
 
-def test_claim_that_settles_after_a_pause_is_not_dispatched():
-    """A process paused past the deadline must not use the claim it then finds."""
+def test_claim_completed_after_its_deadline_is_not_dispatched():
+    """A process that pauses past the deadline must not dispatch on its late claim."""
 
-    async def scenario(world):
-        world.service.set_faults(StoreFaults(delay_ms=20.0))
-        work = world.mutate(0, "key-1", "paused")
+    async def scenario(fleet):
+        fleet.service.set_faults(StoreFaults(delay_ms=20.0))
+        work = fleet.mutate(0, "key-1", "paused")
         task = asyncio.get_running_loop().create_task(work)
         await asyncio.sleep(0.03)
-        world.clock.now_ms = lambda: 5_000.0
+        fleet.clock.now_ms = lambda: 5_000.0
         paused = await task
-        del world.clock.now_ms
+        del fleet.clock.now_ms
         await asyncio.sleep(0.5)
-        return paused, await world.mutate(1, "key-1", "again")
+        return paused, await fleet.mutate(1, "key-1", "again")
 
-    paused, again = run_world(scenario, ledger_settings=LedgerSettings(n_partitions=1))
+    paused, second_claim = run_with_fleet(
+        scenario, ledger_settings=LedgerSettings(n_partitions=1)
+    )
     assert paused.kind.run is RunState.NO
-    assert not isinstance(again, Failure)
+    assert not isinstance(second_claim, Failure)
--- a/chestnuthall/daemon/tests/test_configuration_on_store.py
+++ b/chestnuthall/daemon/tests/test_configuration_on_store.py
@@ -1,6 +1,8 @@
-"""Guards configuration against faults of the store and of peers, over time.
+"""Tests of configuration updates under faults of the store and of peers.
 
-Real keepers run on the in-memory store in virtual time.
+A fault must neither revert an instance to an older revision nor delay a new one
+beyond the limit, and must not make an instance call the store in a tight loop. The
+real configuration keepers run on the in-memory store in virtual time.
 """
 
 import asyncio
@@ -11,18 +13,18 @@
 
 from chestnuthall.core.configuration import RevisionDecision
 from chestnuthall.core.results import CONFIGURATION_REJECTED
-from chestnuthall.daemon.tests.store_world import (
+from chestnuthall.daemon.tests.shared_store_fleet import (
     DOCUMENT,
-    StoreWorld,
+    SharedStoreFleet,
     configuration_text,
 )
 from chestnuthall.ports import WatchBatch
 from chestnuthall.standins.objectapi import Outage, StoreFaults
 from chestnuthall.standins.virtual_time import run_virtual
 
-BOUND_MS = 8_000.0
+PROPAGATION_LIMIT_MS = 8_000.0
 FAULTS = {
-    "calm": {},
+    "no-fault": {},
     "refused": {"outage": Outage.REFUSED, "outage_ms": 20_000.0},
     "hanging": {"outage": Outage.HANGING, "outage_ms": 20_000.0},
     "503": {"outage": Outage.ERROR_503, "outage_ms": 20_000.0},
@@ -31,19 +33,19 @@
     "rate-limit": {"n_calls_per_s_max": 1},
 }
 STEPS = {"before-start": -1.0, "during-first-read": 0.001, "during-watch": 6.0}
-# Faults in which every call fails, so that nobody can reach the store.
+# Faults under which every store call of every instance fails.
 OUTAGES = {name for name, fault in FAULTS.items() if "outage" in fault}
 
 
-async def run_keepers(world, scenario):
-    """Run the keepers and the exchange between them around a scenario."""
-    logs = [[] for _ in world.keepers]
-    for keeper, log in zip(world.keepers, logs, strict=True):
+async def run_keepers(fleet, scenario):
+    """Run a scenario while the keepers run and exchange configurations."""
+    logs = [[] for _ in fleet.keepers]
+    for keeper, log in zip(fleet.keepers, logs, strict=True):
         keeper.on_change(
-            lambda item, log=log: log.append((item.revision, world.clock.now_ms()))
+            lambda item, log=log: log.append((item.revision, fleet.clock.now_ms()))
         )
-    tasks = [asyncio.ensure_future(keeper.run()) for keeper in world.keepers]
-    tasks.append(asyncio.ensure_future(world.tell_peers()))
+    tasks = [asyncio.ensure_future(keeper.run()) for keeper in fleet.keepers]
+    tasks.append(asyncio.ensure_future(fleet.run_peer_exchange()))
     try:
         result = await scenario()
     finally:
@@ -58,35 +60,35 @@
 
 
 def run_fault_case(step, faults, watchers):
-    """Accept a revision under a fault, or after an outage, and check its way."""
+    """Publish a revision under a fault or after an outage; check that it arrives."""
 
-    async def scenario(world):
-        await world.accept(1)
+    async def scenario(fleet):
+        await fleet.accept(1)
         if STEPS[step] < 0.0:
-            world.service.set_faults(StoreFaults(**faults))
+            fleet.service.set_faults(StoreFaults(**faults))
 
-        async def act():
+        async def publish_revision():
             await asyncio.sleep(max(0.0, STEPS[step]))
-            world.service.set_faults(StoreFaults(**faults))
+            fleet.service.set_faults(StoreFaults(**faults))
             await asyncio.sleep(21.0 if "outage" in faults else 0.5)
-            accepted_ms = world.clock.now_ms()
-            await world.accept(2)
-            await asyncio.sleep(BOUND_MS / 1000.0)
+            accepted_ms = fleet.clock.now_ms()
+            await fleet.accept(2)
+            await asyncio.sleep(PROPAGATION_LIMIT_MS / 1000.0)
             return accepted_ms
 
-        return await run_keepers(world, act)
+        return await run_keepers(fleet, publish_revision)
 
-    logs, accepted_ms = run_virtual(scenario(StoreWorld(watchers=watchers)))
+    logs, accepted_ms = run_virtual(scenario(SharedStoreFleet(watchers=watchers)))
     for log in logs:
         assert log[-1][0] == 2
-        assert log[-1][1] - accepted_ms <= BOUND_MS
+        assert log[-1][1] - accepted_ms <= PROPAGATION_LIMIT_MS
 
 
 @pytest.mark.parametrize("watchers", [(0, 1, 2), (1,)], ids=["all-watch", "one"])
 @pytest.mark.parametrize("fault", FAULTS)
 @pytest.mark.parametrize("step", STEPS)
 def test_fault_at_step(step, fault, watchers):
-    """Revisions must not revert under a fault, and arrive in time after it."""
+    """A fault must not revert a revision, and a new one must arrive in time."""
     run_fault_case(step, FAULTS[fault], watchers)
 
 
@@ -95,70 +97,70 @@
     [
         pytest.param(a, b, id=f"{a}+{b}")
         for a, b in combinations(FAULTS, 2)
-        if a != "calm" and b not in OUTAGES
+        if a != "no-fault" and b not in OUTAGES
     ],
 )
 def test_pair_of_faults(first, second):
-    """Two faults together must not break what each alone keeps."""
+    """The guarantees under a single fault must also hold under two at once."""
     run_fault_case("during-watch", {**FAULTS[first], **FAULTS[second]}, (0, 1))
 
 
 @pytest.mark.parametrize("watchers", [(0,), ()], ids=["watcher", "not-a-watcher"])
 @pytest.mark.parametrize("offset_s", [0.0, 0.7, 1.9, 3.3, 4.9])
-def test_hung_call_does_not_delay(offset_s, watchers):
-    """A call that hangs when a store recovers must not hold news back."""
+def test_hung_call_does_not_delay_a_revision(offset_s, watchers):
+    """A call that hangs while the store recovers must not delay a new revision."""
 
-    async def scenario(world):
-        await world.accept(1)
+    async def scenario(fleet):
+        await fleet.accept(1)
 
-        async def act():
+        async def publish_revision():
             await asyncio.sleep(10.0 + offset_s)
-            world.service.set_faults(
+            fleet.service.set_faults(
                 StoreFaults(outage=Outage.HANGING, outage_ms=100.0)
             )
             await asyncio.sleep(0.2)
-            await world.accept(2)
-            await asyncio.sleep(BOUND_MS / 1000.0)
+            await fleet.accept(2)
+            await asyncio.sleep(PROPAGATION_LIMIT_MS / 1000.0)
 
-        return await run_keepers(world, act)
+        return await run_keepers(fleet, publish_revision)
 
-    logs, _ = run_virtual(scenario(StoreWorld(n=1, watchers=watchers)))
+    logs, _ = run_virtual(scenario(SharedStoreFleet(n_instances=1, watchers=watchers)))
     assert logs[0][-1][0] == 2
 
 
-def test_watch_that_ends_at_once_is_not_repeated_at_once():
-    """A store that ends watches early must not be asked in a tight loop."""
+def test_watch_that_ends_early_is_not_repeated_in_a_loop():
+    """A store that ends watches early must not be polled in a tight loop."""
 
-    async def scenario(world):
-        await world.accept(1)
+    async def scenario(fleet):
+        await fleet.accept(1)
 
         async def end_at_once(kind, after_version, timeout_ms):
             return WatchBatch(after_version, ())
 
-        world.clients[0].watch = end_at_once
-        task = asyncio.ensure_future(world.keepers[0].run())
+        fleet.clients[0].watch = end_at_once
+        task = asyncio.ensure_future(fleet.keepers[0].run())
         await asyncio.sleep(60.0)
         task.cancel()
-        return sum(world.stores[0].calls_in_last_minute().values())
+        return sum(fleet.stores[0].calls_in_last_minute().values())
 
-    assert run_virtual(scenario(StoreWorld(n=1))) <= 65
+    assert run_virtual(scenario(SharedStoreFleet(n_instances=1))) <= 65
 
 
-def test_cut_off_instance_learns_from_peers():
-    """An instance that reaches peers but not the store must follow them."""
+def test_instance_without_store_receives_revisions_from_peers():
+    """An instance that reaches its peers but not the store must follow its peers."""
 
-    async def scenario(world):
-        await world.accept(1)
-        world.clients[2].is_cut_off = True
+    async def scenario(fleet):
+        await fleet.accept(1)
+        fleet.clients[2].is_cut_off = True
 
-        async def act():
+        async def publish_revision():
             await asyncio.sleep(5.0)
-            await world.accept(2)
-            await asyncio.sleep(BOUND_MS / 1000.0)
+            await fleet.accept(2)
+            await asyncio.sleep(PROPAGATION_LIMIT_MS / 1000.0)
 
-        return await run_keepers(world, act)
+        return await run_keepers(fleet, publish_revision)
 
-    logs, _ = run_virtual(scenario(StoreWorld()))
+    logs, _ = run_virtual(scenario(SharedStoreFleet()))
     assert [log[-1][0] for log in logs] == [2, 2, 2]
 
 
@@ -172,53 +174,55 @@
         pytest.param(0.0, True, None, 0, id="neither"),
     ],
 )
-def test_start_takes_the_highest(stale_ms, is_cut_off, peer_revision, expected):
-    """A starting instance must not serve an older revision than it can learn."""
+def test_start_applies_the_highest_known_revision(
+    stale_ms, is_cut_off, peer_revision, expected
+):
+    """A starting instance must not serve an older revision than it can obtain."""
 
-    async def scenario(world):
-        await world.accept(1)
+    async def scenario(fleet):
+        await fleet.accept(1)
         await asyncio.sleep(6.0)
-        await world.accept(2)
+        await fleet.accept(2)
         await asyncio.sleep(1.0)
         if peer_revision is not None:
-            world.keepers[1].offer_text(configuration_text(peer_revision), "test")
-        world.service.set_faults(StoreFaults(delay_ms=50.0, stale_read_ms=stale_ms))
-        world.clients[0].is_cut_off = is_cut_off
-        task = asyncio.ensure_future(world.keepers[0].run())
+            fleet.keepers[1].offer_text(configuration_text(peer_revision), "test")
+        fleet.service.set_faults(StoreFaults(delay_ms=50.0, stale_read_ms=stale_ms))
+        fleet.clients[0].is_cut_off = is_cut_off
+        task = asyncio.ensure_future(fleet.keepers[0].run())
         await asyncio.sleep(0.04)
-        assert not world.keepers[0].is_ready or is_cut_off
+        assert not fleet.keepers[0].is_ready or is_cut_off
         await asyncio.sleep(0.011)
-        ready = world.keepers[0].is_ready
+        ready = fleet.keepers[0].is_ready
         task.cancel()
-        return ready, world.keepers[0].revision
+        return ready, fleet.keepers[0].revision
 
-    ready, revision = run_virtual(scenario(StoreWorld()))
+    ready, revision = run_virtual(scenario(SharedStoreFleet()))
     assert (ready, revision) == (expected > 0, expected)
 
 
-def test_trimmed_history_is_read_again():
-    """A watch that falls behind the kept history must not miss a revision."""
+def test_trimmed_watch_history_causes_a_new_read():
+    """A watch that falls behind the retained history must not miss a revision."""
 
-    async def scenario(world):
-        await world.accept(1)
+    async def scenario(fleet):
+        await fleet.accept(1)
 
-        async def act():
+        async def publish_revision():
             await asyncio.sleep(1.0)
-            world.clients[0].is_cut_off = True
+            fleet.clients[0].is_cut_off = True
             await asyncio.sleep(5.0)
-            await world.accept(2)
-            world.service.table.trim_history()
-            world.clients[0].is_cut_off = False
-            await asyncio.sleep(BOUND_MS / 1000.0)
+            await fleet.accept(2)
+            fleet.service.table.trim_history()
+            fleet.clients[0].is_cut_off = False
+            await asyncio.sleep(PROPAGATION_LIMIT_MS / 1000.0)
 
-        return await run_keepers(world, act)
+        return await run_keepers(fleet, publish_revision)
 
-    logs, _ = run_virtual(scenario(StoreWorld(n=1, watchers=(0,))))
+    logs, _ = run_virtual(scenario(SharedStoreFleet(n_instances=1, watchers=(0,))))
     assert [revision for revision, _ in logs[0]] == [1, 2]
 
 
 @pytest.mark.parametrize(
-    ("faults", "is_written", "watchers", "n_max"),
+    ("faults", "is_written", "watchers", "n_calls_max"),
     [
         pytest.param({}, True, (0,), 16, id="watcher"),
         pytest.param({}, True, (), 15, id="not-a-watcher"),
@@ -229,22 +233,22 @@
         pytest.param({"stale_read_ms": 9e9}, True, (), 65, id="stale"),
     ],
 )
-def test_calls_per_minute(faults, is_written, watchers, n_max):
-    """Nothing may poll the store in a tight loop, whatever it answers."""
+def test_calls_per_minute(faults, is_written, watchers, n_calls_max):
+    """The store must not be polled in a tight loop, whatever it answers."""
 
-    async def scenario(world):
+    async def scenario(fleet):
         if is_written:
-            await world.accept(1)
+            await fleet.accept(1)
         await asyncio.sleep(1.0)
-        world.service.set_faults(StoreFaults(**faults))
-        task = asyncio.ensure_future(world.keepers[0].run())
+        fleet.service.set_faults(StoreFaults(**faults))
+        task = asyncio.ensure_future(fleet.keepers[0].run())
         await asyncio.sleep(60.0)
         task.cancel()
-        return sum(world.stores[0].calls_in_last_minute().values())
+        return sum(fleet.stores[0].calls_in_last_minute().values())
 
-    n_calls = run_virtual(scenario(StoreWorld(n=1, watchers=watchers)))
+    n_calls = run_virtual(scenario(SharedStoreFleet(n_instances=1, watchers=watchers)))
     print(f"{n_calls} calls in a minute")
-    assert 0 < n_calls <= n_max
+    assert 0 < n_calls <= n_calls_max
 
 
 @pytest.mark.parametrize(
@@ -263,18 +267,18 @@
         (configuration_text(4), RevisionDecision.APPLY),
         ("{}", CONFIGURATION_REJECTED),
     ],
-    ids=["repeated", "older", "other-digest", "other-environment", "newer", "bad"],
+    ids=["repeated", "older", "other-digest", "other-environment", "newer", "invalid"],
 )
-def test_offers(text, expected):
-    """An offer from any source may only move the revision forward."""
+def test_offered_revision(text, expected):
+    """A text offered by any source may only advance the revision."""
 
-    async def scenario(world):
-        keeper = world.keepers[0]
+    async def scenario(fleet):
+        keeper = fleet.keepers[0]
         keeper.offer_text(configuration_text(3), "test")
         decision = keeper.offer_text(text, "test")
         return getattr(decision, "kind", decision), keeper.revision
 
-    decision, revision = run_virtual(scenario(StoreWorld()))
+    decision, revision = run_virtual(scenario(SharedStoreFleet()))
     assert decision is expected
     assert revision == (4 if expected is RevisionDecision.APPLY else 3)
 
@@ -285,43 +289,43 @@
     ids=["same", "older", "behind", "none-in-force"],
 )
 def test_confirmation_by_a_peer(in_force, confirmed, is_confirmed):
-    """An instance that is behind must not count as up to date."""
+    """A confirmation of a newer revision than its own must not count as its own."""
 
-    async def scenario(world):
-        keeper = world.keepers[0]
+    async def scenario(fleet):
+        keeper = fleet.keepers[0]
         if in_force is not None:
             keeper.offer_text(configuration_text(in_force), "test")
         keeper.confirm(confirmed, 300.0)
         return keeper.confirmation_age_ms
 
-    age_ms = run_virtual(scenario(StoreWorld()))
+    age_ms = run_virtual(scenario(SharedStoreFleet()))
     assert age_ms == (300.0 if is_confirmed else float("inf"))
 
 
 def test_stale_read_confirms_nothing():
-    """A read that is provably from the past must not count as up to date."""
+    """A read older than the revision in force must not count as a confirmation."""
 
-    async def scenario(world):
-        await world.accept(1)
-        keeper = world.keepers[0]
+    async def scenario(fleet):
+        await fleet.accept(1)
+        keeper = fleet.keepers[0]
         keeper.offer_text(configuration_text(2), "peer")
         task = asyncio.ensure_future(keeper.run())
         await asyncio.sleep(0.6)
         task.cancel()
         return keeper.confirmation_age_ms, keeper.revision
 
-    age_ms, revision = run_virtual(scenario(StoreWorld(watchers=())))
+    age_ms, revision = run_virtual(scenario(SharedStoreFleet(watchers=())))
     assert (age_ms, revision) == (float("inf"), 2)
 
 
 def test_failing_listener_does_not_stop_the_others():
-    """A defect in one listener must not keep others on an old revision."""
+    """An exception in one listener must not keep the others on an old revision."""
 
-    async def scenario(world):
-        keeper, seen = world.keepers[0], []
+    async def scenario(fleet):
+        keeper, revisions = fleet.keepers[0], []
         keeper.on_change(lambda item: 1 / 0)
-        keeper.on_change(lambda item: seen.append(item.revision))
+        keeper.on_change(lambda item: revisions.append(item.revision))
         keeper.offer_text(configuration_text(1), "test")
-        return seen
+        return revisions
 
-    assert run_virtual(scenario(StoreWorld())) == [1]
+    assert run_virtual(scenario(SharedStoreFleet())) == [1]
--- a/chestnuthall/daemon/tests/test_whole_path.py
+++ b/chestnuthall/daemon/tests/test_end_to_end.py
@@ -1,4 +1,9 @@
-"""Guards the whole path over separate processes on loopback."""
+"""End-to-end tests with separate processes on loopback.
+
+Guards against faults in the composition that tests of single services cannot show:
+requests that do not reach the shards, wrong result codes, and searches or updates
+that fail because of a store outage.
+"""
 
 import asyncio
 from pathlib import Path
@@ -9,7 +14,7 @@
 from chestnuthall.standins.fleet import FleetPlan, GroupPlan, LocalFleet
 
 DOCUMENT = Path(__file__).parents[3] / "examples" / "environment.jsonc"
-HOLD = {
+MUTATION = {
     "class": "planner",
     "group": "booking-ledger",
     "key": "line-7",
@@ -19,8 +24,8 @@
 
 
 @pytest.mark.processes
-def test_search_lookup_and_bad_input():
-    """A request must pass from caller to shards and back, and errors be clear."""
+def test_search_and_invalid_requests():
+    """Searches must succeed, and invalid requests get a specific result code."""
 
     async def scenario():
         plan = FleetPlan(
@@ -43,14 +48,16 @@
                 await client.send("POST", "/v1/search", search),
                 await client.send("POST", "/v1/search", {**search, "class": "nobody"}),
                 await client.send("POST", "/v1/search", {"request_id": "t2"}),
-                await client.send("POST", "/v1/mutate", {**HOLD, "request_id": "t3"}),
+                await client.send(
+                    "POST", "/v1/mutate", {**MUTATION, "request_id": "t3"}
+                ),
                 await client.send("GET", "/nowhere"),
                 await client.send("POST", "/v1/search", search),
             ]
 
     replies = asyncio.run(scenario())
-    names = [reply.body["result"] for reply in replies]
-    assert names == [
+    result_codes = [reply.body["result"] for reply in replies]
+    assert result_codes == [
         "OK",
         "UNKNOWN_CLASS",
         "INVALID_REQUEST",
@@ -63,8 +70,8 @@
 
 
 @pytest.mark.processes
-def test_store_down():
-    """While the store is down, mutations are refused as not run, nothing else."""
+def test_store_outage_affects_only_mutations():
+    """A store outage must refuse mutations as not run and affect nothing else."""
 
     async def scenario():
         plan = FleetPlan(
@@ -75,21 +82,31 @@
             document_text=DOCUMENT.read_text(),
             n_instances=2,
         )
-        hold = {**HOLD, "issued_at_ms": LoopClock().wall_ms(), "payload": "hold"}
+        mutation = {
+            **MUTATION,
+            "issued_at_ms": LoopClock().wall_ms(),
+            "payload": "hold",
+        }
         search = {"class": "planner", "group": "planner-desk", "query": "x"}
         async with LocalFleet(plan) as fleet:
             first, second = (item.client for item in fleet.instances)
             faults = {"outage": "refused", "outage_ms": 1_500.0}
             await fleet.store.send("PUT", "/faults", faults)
             await asyncio.sleep(0.3)
-            down = [
-                await first.send("POST", "/v1/mutate", {**hold, "request_id": "m1"}),
+            during_outage = [
+                await first.send(
+                    "POST", "/v1/mutate", {**mutation, "request_id": "m1"}
+                ),
                 await first.send("POST", "/v1/search", {**search, "request_id": "s1"}),
             ]
             await asyncio.sleep(2.5)
-            up = [
-                await first.send("POST", "/v1/mutate", {**hold, "request_id": "m2"}),
-                await second.send("POST", "/v1/mutate", {**hold, "request_id": "m3"}),
+            after_outage = [
+                await first.send(
+                    "POST", "/v1/mutate", {**mutation, "request_id": "m2"}
+                ),
+                await second.send(
+                    "POST", "/v1/mutate", {**mutation, "request_id": "m3"}
+                ),
             ]
             await fleet.put_document(plan.document_text, revision=2)
             await asyncio.sleep(2.0)
@@ -99,10 +116,10 @@
                 ]
                 for client in (first, second)
             ]
-            return down, up, revisions
+            return during_outage, after_outage, revisions
 
-    down, up, revisions = asyncio.run(scenario())
-    names = [reply.body["result"] for reply in (*down, *up)]
-    assert names == ["STORE_UNAVAILABLE", "OK", "OK", "KEY_ALREADY_CLAIMED"]
-    assert down[0].body["run"] == "no"
+    during_outage, after_outage, revisions = asyncio.run(scenario())
+    result_codes = [reply.body["result"] for reply in (*during_outage, *after_outage)]
+    assert result_codes == ["STORE_UNAVAILABLE", "OK", "OK", "KEY_ALREADY_CLAIMED"]
+    assert during_outage[0].body["run"] == "no"
     assert revisions == [2, 2]
--- a/chestnuthall/daemon/tests/test_lifecycle.py
+++ b/chestnuthall/daemon/tests/test_lifecycle.py
@@ -1,4 +1,8 @@
-"""Guards the graceful stop: no request in flight may be cut off."""
+"""Tests of the graceful stop of an instance.
+
+A stop that closes the server or its connections too early truncates responses and
+loses requests that callers have already sent.
+"""
 
 import asyncio
 import json
@@ -15,18 +19,18 @@
 DOCUMENT = Path(__file__).parents[3] / "examples" / "environment.jsonc"
 GET = b"GET / HTTP/1.1\r\nhost: a\r\n\r\n"
 POST = b"POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 4\r\n\r\n"
-LARGE = 8_000_000
+N_LARGE_BODY_BYTES = 8_000_000
 NOTICE_S = 0.8
 SERVICE_S = 0.3
 
 
 async def _serve(request):
     await asyncio.sleep(SERVICE_S)
-    return HttpResponse(200, {}, b"x" * (LARGE if request.body else 2))
+    return HttpResponse(200, {}, b"x" * (N_LARGE_BODY_BYTES if request.body else 2))
 
 
 async def _read_response(reader, delay_s=0.0):
-    """Return the head and the number of body bytes that arrived."""
+    """Return the response head and the number of body bytes received."""
     try:
         head = await reader.readuntil(b"\r\n\r\n")
     except asyncio.IncompleteReadError:
@@ -43,21 +47,21 @@
         return head, len(error.partial)
 
 
-async def _in_flight(reader, writer, stop):
+async def _stop_with_request_in_flight(reader, writer, stop):
     writer.write(GET)
     await asyncio.sleep(0.05)
     stop()
     return await _read_response(reader)
 
 
-async def _in_notice(reader, writer, stop):
+async def _send_during_notice(reader, writer, stop):
     stop()
     await asyncio.sleep(0.05)
     writer.write(GET)
     return await _read_response(reader)
 
 
-async def _half_received(reader, writer, stop):
+async def _complete_request_after_notice(reader, writer, stop):
     writer.write(POST + b"ab")
     await asyncio.sleep(0.05)
     stop()
@@ -66,14 +70,14 @@
     return await _read_response(reader)
 
 
-async def _slow_reader(reader, writer, stop):
+async def _read_response_slowly(reader, writer, stop):
     writer.write(POST + b"abcd")
     await asyncio.sleep(0.05)
     stop()
     return await _read_response(reader, delay_s=SERVICE_S + NOTICE_S + 0.5)
 
 
-async def _second_request(reader, writer, stop):
+async def _send_on_kept_alive_connection(reader, writer, stop):
     writer.write(GET)
     await _read_response(reader)
     stop()
@@ -85,15 +89,21 @@
 @pytest.mark.parametrize(
     ("caller", "n_bytes"),
     [
-        pytest.param(_in_flight, 2, id="request-in-flight"),
-        pytest.param(_in_notice, 2, id="request-on-open-connection-in-notice"),
-        pytest.param(_half_received, LARGE, id="request-half-received"),
-        pytest.param(_slow_reader, LARGE, id="slow-reader"),
-        pytest.param(_second_request, 2, id="kept-alive-and-second-signal"),
+        pytest.param(_stop_with_request_in_flight, 2, id="request-in-flight"),
+        pytest.param(_send_during_notice, 2, id="request-on-open-connection-in-notice"),
+        pytest.param(
+            _complete_request_after_notice,
+            N_LARGE_BODY_BYTES,
+            id="request-half-received",
+        ),
+        pytest.param(_read_response_slowly, N_LARGE_BODY_BYTES, id="slow-reader"),
+        pytest.param(
+            _send_on_kept_alive_connection, 2, id="kept-alive-and-second-signal"
+        ),
     ],
 )
-def test_stop_cuts_off_no_request(caller, n_bytes):
-    """Each request that reached the instance must get its whole response."""
+def test_stop_completes_every_request(caller, n_bytes):
+    """Each request that reached the instance must get its complete response."""
 
     async def scenario():
         lifecycle = Lifecycle(LoopClock(), NOTICE_S * 1000.0)
@@ -121,7 +131,7 @@
 
 @pytest.mark.parametrize("was_ready", [True, False])
 def test_stop_before_ready_needs_no_notice(was_ready):
-    """An instance that no caller knows must not wait for the balancer."""
+    """An instance that was never ready must not wait for the load balancer."""
 
     async def scenario():
         lifecycle = Lifecycle(LoopClock(), 300.0)
@@ -135,7 +145,7 @@
 
 @pytest.mark.processes
 def test_processes_leave_and_are_drained():
-    """Signals, the operators' routes, the list and the status must agree."""
+    """SIGTERM and operators' drains must show in replies, list and status."""
 
     async def scenario():
         plan = FleetPlan(
@@ -165,7 +175,7 @@
                     "DELETE", "/v1/admin/quarantines?fingerprint=f"
                 ),
             ]
-            # The bound for a drain to reach every instance.
+            # A drain reaches every instance within 3 s.
             await asyncio.sleep(3.0)
             in_flight = asyncio.create_task(
                 first.client.send("POST", "/v1/search", search)
@@ -176,18 +186,18 @@
             first.process.send_signal(signal.SIGTERM)
             health = await first.client.send("GET", "/v1/health")
             answer = await in_flight
-            status = await first.process.wait()
-            listed = await fleet.store.send("GET", "/v1/objects/instances/entry-0")
-            shown = await fleet.store.send("GET", "/v1/objects/status/entry-0")
-            other = await second.client.send("GET", "/v1/admin/status")
+            exit_code = await first.process.wait()
+            list_entry = await fleet.store.send("GET", "/v1/objects/instances/entry-0")
+            stored_status = await fleet.store.send("GET", "/v1/objects/status/entry-0")
+            peer_status = await second.client.send("GET", "/v1/admin/status")
             second.process.send_signal(signal.SIGTERM)
             return (
                 [reply.status for reply in replies],
-                (answer.status, answer.body["result"], health.status, status),
-                json.loads(listed.body["value"])["state"],
-                json.loads(shown.body["value"])["fleet"]["leaving"],
-                json.loads(shown.body["value"])["news"]["drains"],
-                other.body["status"]["fleet"]["n_live"],
+                (answer.status, answer.body["result"], health.status, exit_code),
+                json.loads(list_entry.body["value"])["state"],
+                json.loads(stored_status.body["value"])["fleet"]["leaving"],
+                json.loads(stored_status.body["value"])["news"]["drains"],
+                peer_status.body["status"]["fleet"]["n_live"],
             )
 
     assert asyncio.run(scenario()) == (
--- a/chestnuthall/daemon/tests/test_membership.py
+++ b/chestnuthall/daemon/tests/test_membership.py
@@ -1,4 +1,9 @@
-"""Fault matrix of membership: step of an instance's life x fault."""
+"""Tests of membership under faults of instances, the network and the store.
+
+After a fault some instances may keep a wrong view of the fleet, for example a failed
+member that is never removed or a live one that is. The matrix combines each state of
+an instance's life with each fault.
+"""
 
 import asyncio
 
@@ -7,150 +12,150 @@
 from chestnuthall.daemon.tests.virtual_fleet import VirtualFleet
 from chestnuthall.standins.virtual_time import run_virtual
 
-N = 9
-LAST = "entry-8"
+N_INSTANCES = 9
+LAST_NAME = "entry-8"
 
 
-def _names(n=N):
+def _instance_names(n=N_INSTANCES):
     return {f"entry-{index}" for index in range(n)}
 
 
 async def _join(fleet):
-    """The last instance has just started."""
-    fleet.start(LAST)
+    """Start the last instance; it is still joining."""
+    fleet.start(LAST_NAME)
 
 
 async def _serve(fleet):
-    """The last instance is a member of long standing."""
-    fleet.start(LAST)
-    await fleet.settle()
+    """Start the last instance and wait until every instance knows it."""
+    fleet.start(LAST_NAME)
+    await fleet.wait_until_converged()
 
 
 async def _leave(fleet):
-    """The last instance leaves and still runs."""
+    """Let the last instance announce its leave; its process keeps running."""
     await _serve(fleet)
-    await fleet.instances[LAST].membership.announce_leave()
+    await fleet.instances[LAST_NAME].membership.announce_leave()
 
 
 STEPS = {"joining": _join, "serving": _serve, "leaving": _leave}
 
 
-async def _is_killed(fleet):
-    fleet.kill(LAST)
-    return _names() - {LAST}
+async def _kill(fleet):
+    fleet.kill(LAST_NAME)
+    return _instance_names() - {LAST_NAME}
 
 
-async def _is_killed_and_unlisted(fleet):
-    fleet.kill(LAST, is_listed=False)
-    return _names() - {LAST}
+async def _kill_and_unlist(fleet):
+    fleet.kill(LAST_NAME, is_listed=False)
+    return _instance_names() - {LAST_NAME}
 
 
-async def _is_replaced(fleet):
-    """Killed and started again at once, under its name at a new address."""
-    fleet.kill(LAST)
-    fleet.start(LAST, "10.0.1.8:1")
-    return _names()
+async def _replace(fleet):
+    """Kill the instance and restart it at once under its name at a new address."""
+    fleet.kill(LAST_NAME)
+    fleet.start(LAST_NAME, "10.0.1.8:1")
+    return _instance_names()
 
 
-async def _is_replaced_by_slow_clock(fleet):
-    """The new process reads an earlier wall clock than its predecessor did."""
-    fleet.kill(LAST)
-    fleet.start(LAST, wall_offset_ms=0.0)
-    return _names()
+async def _replace_with_slow_clock(fleet):
+    """Restart the instance with a wall clock earlier than its predecessor's."""
+    fleet.kill(LAST_NAME)
+    fleet.start(LAST_NAME, wall_offset_ms=0.0)
+    return _instance_names()
 
 
-async def _is_paused(fleet):
-    """Stopped for longer than any timeout, then resumed."""
-    host = fleet.instances[LAST].host
+async def _pause(fleet):
+    """Pause the process for longer than any timeout, then resume it."""
+    host = fleet.instances[LAST_NAME].host
     host.pause()
     await asyncio.sleep(30.0)
     host.resume()
     return None
 
 
-async def _is_cut_off(fleet):
-    """Reaches nobody for 30 s; then the network heals."""
-    others = fleet.addresses(_names() - {LAST})
-    fleet.network.cut_both([fleet.instances[LAST].address], others)
+async def _isolate(fleet):
+    """Lose all messages to and from the instance for 30 s."""
+    others = fleet.addresses(_instance_names() - {LAST_NAME})
+    fleet.network.cut_both([fleet.instances[LAST_NAME].address], others)
     await asyncio.sleep(30.0)
     fleet.network.heal()
     return None
 
 
-async def _hears_but_is_not_heard(fleet):
-    others = fleet.addresses(_names() - {LAST})
-    fleet.network.cut([fleet.instances[LAST].address], others)
+async def _lose_outgoing_messages(fleet):
+    others = fleet.addresses(_instance_names() - {LAST_NAME})
+    fleet.network.cut([fleet.instances[LAST_NAME].address], others)
     await asyncio.sleep(30.0)
     fleet.network.heal()
     return None
 
 
-async def _address_is_reused(fleet):
-    """Another instance starts at the address of one that was killed."""
-    address = fleet.kill(LAST).address
+async def _reuse_address(fleet):
+    """Start another instance at the address of one that was killed."""
+    address = fleet.kill(LAST_NAME).address
     fleet.start("entry-77", address)
-    return (_names() - {LAST}) | {"entry-77"}
+    return (_instance_names() - {LAST_NAME}) | {"entry-77"}
 
 
-async def _is_killed_in_store_outage(fleet):
-    fleet.is_store_down = True
-    fleet.kill(LAST)
-    return _names() - {LAST}
+async def _kill_in_store_outage(fleet):
+    fleet.is_store_unavailable = True
+    fleet.kill(LAST_NAME)
+    return _instance_names() - {LAST_NAME}
 
 
-async def _returns_while_listed_as_leaving(fleet):
-    """The list still shows how the predecessor left."""
-    fleet.put_on_list(LAST, fleet.instances[LAST].address, "leaving")
+async def _restart_while_listed_as_leaving(fleet):
+    """Restart the instance while its list entry is the predecessor's, leaving."""
+    fleet.put_on_list(LAST_NAME, fleet.instances[LAST_NAME].address, "leaving")
     await asyncio.sleep(1.0)
-    fleet.kill(LAST)
+    fleet.kill(LAST_NAME)
     await asyncio.sleep(1.0)
-    fleet.start(LAST, is_listed=False)
-    return _names()
+    fleet.start(LAST_NAME, is_listed=False)
+    return _instance_names()
 
 
-async def _falls_off_the_list(fleet):
-    fleet.drop_from_list(LAST)
+async def _unlist(fleet):
+    fleet.remove_from_instance_list(LAST_NAME)
     await asyncio.sleep(5.0)
     return None
 
 
-async def _store_lists_a_stranger(fleet):
-    """An entry without a process must be dropped from the counts."""
+async def _list_unknown_instance(fleet):
+    """List an instance without a process; it must be dropped from the counts."""
     fleet.put_on_list("entry-77", "10.0.9.9:1")
     await asyncio.sleep(30.0)
     return None
 
 
 FAULTS = {
-    "killed": _is_killed,
-    "killed-and-unlisted": _is_killed_and_unlisted,
-    "replaced": _is_replaced,
-    "replaced-by-slow-clock": _is_replaced_by_slow_clock,
-    "paused": _is_paused,
-    "cut-off": _is_cut_off,
-    "not-heard": _hears_but_is_not_heard,
-    "address-reused": _address_is_reused,
-    "killed-in-store-outage": _is_killed_in_store_outage,
-    "returns-listed-leaving": _returns_while_listed_as_leaving,
-    "unlisted": _falls_off_the_list,
-    "stranger-listed": _store_lists_a_stranger,
+    "killed": _kill,
+    "killed-and-unlisted": _kill_and_unlist,
+    "replaced": _replace,
+    "replaced-by-slow-clock": _replace_with_slow_clock,
+    "paused": _pause,
+    "isolated": _isolate,
+    "outgoing-messages-lost": _lose_outgoing_messages,
+    "address-reused": _reuse_address,
+    "killed-in-store-outage": _kill_in_store_outage,
+    "restarted-while-listed-as-leaving": _restart_while_listed_as_leaving,
+    "unlisted": _unlist,
+    "unknown-instance-listed": _list_unknown_instance,
 }
 
 
 @pytest.mark.parametrize("step", STEPS)
 @pytest.mark.parametrize("fault", FAULTS)
 def test_all_views_agree_after_a_fault(step, fault):
-    """Every running instance must end with the same, right view of the fleet."""
+    """All running instances must converge to the same, correct view of the fleet."""
 
     async def scenario():
-        fleet = VirtualFleet(N - 1)
-        await fleet.settle()
+        fleet = VirtualFleet(N_INSTANCES - 1)
+        await fleet.wait_until_converged()
         await STEPS[step](fleet)
         expected = await FAULTS[fault](fleet)
         if expected is None:
-            expected = _names() - ({LAST} if step == "leaving" else set())
+            expected = _instance_names() - ({LAST_NAME} if step == "leaving" else set())
         await fleet.wait(
-            lambda: fleet.all_see(expected) and not fleet.n_joining(), 40.0
+            lambda: fleet.have_equal_views(expected) and not fleet.n_joining(), 40.0
         )
         n_live = {
             item.membership.counts.n_live
@@ -167,17 +172,17 @@
 @pytest.mark.parametrize(
     ("pause_s", "n_paused"), [(0.7, 1), (3.0, 1), (30.0, 1), (30.0, 3)]
 )
-def test_pause_condemns_no_peer(pause_s, n_paused, seed):
-    """A resumed process must not take its own pause for the failure of peers."""
+def test_paused_instance_keeps_its_peers_live(pause_s, n_paused, seed):
+    """A resumed process must not attribute its own pause to failures of its peers."""
 
     async def scenario():
-        fleet = VirtualFleet(N, seed)
-        await fleet.settle()
+        fleet = VirtualFleet(N_INSTANCES, seed)
+        await fleet.wait_until_converged()
         paused = [fleet.instances[f"entry-{index}"] for index in range(n_paused)]
         for instance in paused:
             instance.host.pause()
         await asyncio.sleep(pause_s)
-        others = _names() - {item.name for item in paused}
+        others = _instance_names() - {item.name for item in paused}
         for instance in paused:
             instance.host.resume()
         n_missing = 0
@@ -185,102 +190,103 @@
             await asyncio.sleep(0.1)
             for instance in paused:
                 n_missing += len(others - instance.live_names)
-        await fleet.settle()
+        await fleet.wait_until_converged()
         return n_missing
 
     assert run_virtual(scenario()) == 0
 
 
-@pytest.mark.parametrize("side", [1, 3, 4])
-def test_partition_heals_and_budgets_stay_divided(side):
-    """Two parts must find each other again, and never share a budget twice."""
+@pytest.mark.parametrize("n_on_one_side", [1, 3, 4])
+def test_network_partition_heals_and_budgets_stay_divided(n_on_one_side):
+    """Both sides must rejoin, and divide budgets by the whole fleet meanwhile."""
 
     async def scenario():
-        fleet = VirtualFleet(N)
-        await fleet.settle()
-        one = [f"entry-{index}" for index in range(side)]
-        other = sorted(_names() - set(one))
-        fleet.network.cut_both(fleet.addresses(one), fleet.addresses(other))
-        least = N
+        fleet = VirtualFleet(N_INSTANCES)
+        await fleet.wait_until_converged()
+        one_side = [f"entry-{index}" for index in range(n_on_one_side)]
+        other_side = sorted(_instance_names() - set(one_side))
+        fleet.network.cut_both(fleet.addresses(one_side), fleet.addresses(other_side))
+        n_holders_min = N_INSTANCES
         for _ in range(1200):
             await asyncio.sleep(0.1)
             for instance in fleet.instances.values():
                 counts = instance.membership.counts
-                least = min(least, counts.n_connection_holders)
+                n_holders_min = min(n_holders_min, counts.n_connection_holders)
         fleet.network.heal()
-        await fleet.wait(lambda: fleet.all_see(_names()), 60.0)
-        return least
+        await fleet.wait(lambda: fleet.have_equal_views(_instance_names()), 60.0)
+        return n_holders_min
 
-    assert run_virtual(scenario()) == N
+    assert run_virtual(scenario()) == N_INSTANCES
 
 
-def test_removal_needs_a_time_to_answer():
-    """A slow instance that answers its suspicion must not be removed."""
+def test_slow_instance_can_refute_its_suspicion():
+    """An instance must not be removed if it refutes its suspicion, even slowly."""
 
     async def scenario():
-        fleet = VirtualFleet(N)
-        await fleet.settle()
-        fleet.network.set_delay(fleet.instances[LAST].address, 600.0)
+        fleet = VirtualFleet(N_INSTANCES)
+        await fleet.wait_until_converged()
+        fleet.network.set_delay(fleet.instances[LAST_NAME].address, 600.0)
         await asyncio.sleep(2.5)
-        fleet.network.set_delay(fleet.instances[LAST].address, 0.0)
-        n_gone = 0
+        fleet.network.set_delay(fleet.instances[LAST_NAME].address, 0.0)
+        n_incomplete_views = 0
         for _ in range(200):
             await asyncio.sleep(0.1)
-            n_gone += not fleet.all_see(_names())
-        return n_gone
+            n_incomplete_views += not fleet.have_equal_views(_instance_names())
+        return n_incomplete_views
 
     assert run_virtual(scenario()) == 0
 
 
-def test_superseded_process_is_told():
-    """A paused process whose name was given to another must learn to leave."""
+def test_superseded_process_is_notified():
+    """A paused process whose name was reused must be notified that it must leave."""
 
     async def scenario():
-        fleet = VirtualFleet(N)
-        await fleet.settle()
+        fleet = VirtualFleet(N_INSTANCES)
+        await fleet.wait_until_converged()
         await asyncio.sleep(60.0)
-        old = fleet.instances[LAST]
-        told = []
-        old.membership.on_superseded(lambda: told.append("old"))
-        old.host.pause()
+        predecessor = fleet.instances[LAST_NAME]
+        notified = []
+        predecessor.membership.on_superseded(lambda: notified.append("old"))
+        predecessor.host.pause()
         await asyncio.sleep(20.0)
-        new = fleet.start(LAST, "10.0.1.8:1")
-        new.membership.on_superseded(lambda: told.append("new"))
-        await fleet.settle()
-        old.host.resume()
+        successor = fleet.start(LAST_NAME, "10.0.1.8:1")
+        successor.membership.on_superseded(lambda: notified.append("new"))
+        await fleet.wait_until_converged()
+        predecessor.host.resume()
         await asyncio.sleep(20.0)
-        return told
+        return notified
 
     assert run_virtual(scenario()) == ["old"]
 
 
-def test_cut_off_instance_keeps_its_view():
-    """One that hears nobody must not take the whole fleet for lost."""
+def test_isolated_instance_keeps_its_view():
+    """An instance that receives no message must not declare its peers failed."""
 
     async def scenario():
-        fleet = VirtualFleet(N)
-        await fleet.settle()
-        alone = fleet.instances[LAST]
-        others = fleet.addresses(_names() - {LAST})
-        fleet.network.cut_both([alone.address], others)
+        fleet = VirtualFleet(N_INSTANCES)
+        await fleet.wait_until_converged()
+        isolated = fleet.instances[LAST_NAME]
+        others = fleet.addresses(_instance_names() - {LAST_NAME})
+        fleet.network.cut_both([isolated.address], others)
         await asyncio.sleep(60.0)
-        states = [item.state for item in alone.membership.members()]
-        return alone.membership.n_instances, states.count("suspect")
+        states = [item.state for item in isolated.membership.members()]
+        return isolated.membership.n_instances, states.count("suspect")
 
     n_instances, n_suspected = run_virtual(scenario())
-    assert n_instances == N
-    # Only the first probes, before nobody had answered for 4 s, raise any.
+    assert n_instances == N_INSTANCES
+    # Only the first probes, sent before 4 s had passed without any answer, raise
+    # suspicions.
     assert n_suspected <= 4
 
 
-def test_one_broken_path_raises_no_suspicion():
-    """Helpers must vouch for an instance that one other cannot reach."""
+def test_one_unreachable_peer_raises_no_suspicion():
+    """Indirect probes must reach an instance that a single peer cannot reach."""
 
     async def scenario():
-        fleet = VirtualFleet(N)
-        await fleet.settle()
-        one, other = fleet.addresses(["entry-0", LAST])
-        fleet.network.cut_both([one], [other])
+        fleet = VirtualFleet(N_INSTANCES)
+        await fleet.wait_until_converged()
+        one_side, other_side = fleet.addresses(["entry-0", LAST_NAME])
+        fleet.network.cut_both([one_side], [other_side])
         n_suspected = 0
         for _ in range(600):
             await asyncio.sleep(0.1)
@@ -291,15 +297,15 @@
     assert run_virtual(scenario()) == 0
 
 
-def test_listed_as_leaving_is_counted_as_leaving():
-    """The platform's word counts before the instance has said anything."""
+def test_instance_listed_as_leaving_is_counted_as_leaving():
+    """The platform's list must be applied before the instance announces its leave."""
 
     async def scenario():
-        fleet = VirtualFleet(N)
-        await fleet.settle()
-        fleet.put_on_list(LAST, fleet.instances[LAST].address, "leaving")
+        fleet = VirtualFleet(N_INSTANCES)
+        await fleet.wait_until_converged()
+        fleet.put_on_list(LAST_NAME, fleet.instances[LAST_NAME].address, "leaving")
         await asyncio.sleep(0.5)
         counts = fleet.instances["entry-0"].membership.counts
         return counts.n_live, counts.n_leaving
 
-    assert run_virtual(scenario()) == (N - 1, 1)
+    assert run_virtual(scenario()) == (N_INSTANCES - 1, 1)
--- a/chestnuthall/daemon/tests/test_mutations_on_store.py
+++ b/chestnuthall/daemon/tests/test_mutations_on_store.py
@@ -1,7 +1,8 @@
-"""Guards the path from claim to dispatch of a mutation, under store faults.
+"""Tests of mutations from claim to dispatch under faults of the store.
 
-Two real query services share the in-memory store; the upstream is a fake that
-notes what it was given to run.
+A mutation that a caller resends must run at most once, and a refusal before
+dispatch must not leave its key claimed. Two real query services share the in-memory
+store; a fake upstream records the mutations that it runs.
 """
 
 import asyncio
@@ -23,8 +24,8 @@
 )
 from chestnuthall.core.quarantine import QuarantineRegister, QuarantineSettings
 from chestnuthall.core.results import NO_REPLICA, Repeat, RunState
-from chestnuthall.daemon.tests.store_world import (
-    StoreWorld,
+from chestnuthall.daemon.tests.shared_store_fleet import (
+    SharedStoreFleet,
     configuration_text,
     mutation,
 )
@@ -36,8 +37,8 @@
 SHARD = Shard("s0", KeyRange("", ""), 10, (Replica("r0", "127.0.0.1:1", "a"),))
 
 
-class NotingCaller:
-    """Runs each mutation in 10 ms; searches take as long as it is told."""
+class RecordingCaller:
+    """Fake upstream that records mutations; they take 10 ms, searches 500 ms."""
 
     def __init__(self):
         self.run_names = []
@@ -62,10 +63,10 @@
         pass
 
 
-class MutationWorld(StoreWorld):
+class MutationFleet(SharedStoreFleet):
     def __init__(self):
         super().__init__(ledger_settings=LedgerSettings(n_partitions=1))
-        self.caller = NotingCaller()
+        self.caller = RecordingCaller()
         self.queries = [self.new_query(index) for index in range(2)]
 
     def new_query(self, index):
@@ -98,7 +99,7 @@
         return self.queries[index].serve(request)
 
     def fill_slots(self, index):
-        """Occupy every slot of the group for half a second."""
+        """Occupy all slots of the group for 500 ms."""
         now_ms = self.clock.now_ms()
         for n in range(3):
             request = SearchRequest(
@@ -115,34 +116,34 @@
             self.background = asyncio.get_running_loop().create_task(work)
 
 
-async def refuse_in_queue(world):
-    world.fill_slots(0)
+async def time_out_in_queue(fleet):
+    fleet.fill_slots(0)
     await asyncio.sleep(0.01)
-    return await world.send(0, "first", deadline_ms=200.0)
+    return await fleet.send(0, "first", deadline_ms=200.0)
 
 
-async def leave_in_queue(world):
-    world.fill_slots(0)
+async def cancel_in_queue(fleet):
+    fleet.fill_slots(0)
     await asyncio.sleep(0.01)
-    task = asyncio.get_running_loop().create_task(world.send(0, "first"))
+    task = asyncio.get_running_loop().create_task(fleet.send(0, "first"))
     await asyncio.sleep(0.1)
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
 
 
-@pytest.mark.parametrize("refuse", [refuse_in_queue, leave_in_queue])
-def test_key_is_free_after_refusal(refuse):
-    """A request refused before dispatch must not lock its key, nor ever run."""
+@pytest.mark.parametrize("provoke_refusal", [time_out_in_queue, cancel_in_queue])
+def test_key_is_free_after_refusal(provoke_refusal):
+    """A request refused before dispatch must release its key and never run."""
 
     async def scenario():
-        world = MutationWorld()
-        outcome = await refuse(world)
+        fleet = MutationFleet()
+        outcome = await provoke_refusal(fleet)
         if outcome is not None:
             assert (outcome.run, outcome.repeat) == (RunState.NO, Repeat.NEW_KEY)
         await asyncio.sleep(0.1)
-        again = await world.send(1, "again")
+        again = await fleet.send(1, "again")
         await asyncio.sleep(2.0)
-        return again, world.caller.run_names
+        return again, fleet.caller.run_names
 
     again, run_names = run_virtual(scenario())
     assert isinstance(again, Answer)
@@ -151,24 +152,24 @@
 
 @pytest.mark.parametrize("faults", FAULTS.values(), ids=FAULTS.keys())
 def test_resends_run_once(faults):
-    """A caller that resends a key to both instances must have it run once."""
+    """A key that is resent to both instances must run exactly once."""
 
     async def scenario():
-        world = MutationWorld()
-        world.service.set_faults(StoreFaults(**faults))
+        fleet = MutationFleet()
+        fleet.service.set_faults(StoreFaults(**faults))
         outcomes = {}
 
         async def resend(index):
             for n in range(5):
                 name = f"{index}-{n}"
-                outcomes[name] = await world.send(index, name)
+                outcomes[name] = await fleet.send(index, name)
                 await asyncio.sleep(0.2)
 
         await asyncio.gather(resend(0), resend(1))
         await asyncio.sleep(3.0)
-        world.service.set_faults(StoreFaults())
-        outcomes["last"] = await world.send(0, "last")
-        return outcomes, [name for _, name in world.caller.run_names]
+        fleet.service.set_faults(StoreFaults())
+        outcomes["last"] = await fleet.send(0, "last")
+        return outcomes, [name for _, name in fleet.caller.run_names]
 
     outcomes, run_names = run_virtual(scenario())
     assert len(run_names) == 1
--- a/chestnuthall/daemon/tests/test_urgent_news.py
+++ b/chestnuthall/daemon/tests/test_notices.py
@@ -1,4 +1,8 @@
-"""Drain and quarantine notices over nine instances in virtual time."""
+"""Tests of drain and quarantine notices between instances, in virtual time.
+
+Guards against notices that reach some instance late or never, and against old
+notices that circulate among peers and restore a drain or quarantine that has ended.
+"""
 
 import asyncio
 from dataclasses import replace
@@ -28,15 +32,15 @@
 )
 from chestnuthall.standins.virtual_time import run_virtual
 
-N = 9
+N_INSTANCES = 9
 GROUP = UpstreamGroup(name="g", n_slots=3, n_connections_max=30, connect_cost_ms=1)
 REPLICA = Replica("r0", "10.1.0.0:1", "zone-a")
 SHARD = Shard("s0", KeyRange("", ""), 10, (REPLICA,))
-BOUND_S = 3.0
+PROPAGATION_LIMIT_S = 3.0
 
 
 class Upstream:
-    """Health of the one replica."""
+    """Fake upstream with one replica, whose health the test sets."""
 
     def __init__(self):
         self.is_draining = False
@@ -48,16 +52,16 @@
         return self.is_draining
 
 
-def make_fleet(upstream, seed=1, n_instances=N):
-    def add_parts(instance, clock, listed):
+def make_fleet(upstream, seed=1, n_instances=N_INSTANCES):
+    def add_services(instance, clock, listed):
         random = Random(seed)
         directory = Directory(None, None, clock, None, "zone-a", random)
         directory.add_group(GROUP)
         directory.add_map(PartitionMap("g", 1, (SHARD,)))
         membership = instance.membership
         drains = DrainNews(directory, clock, listed, membership.spread_now)
-        register = QuarantineRegister(QuarantineSettings())
-        quarantines = QuarantineNews(register, clock, membership.spread_now)
+        quarantine_registry = QuarantineRegister(QuarantineSettings())
+        quarantines = QuarantineNews(quarantine_registry, clock, membership.spread_now)
         health = HealthChecks(upstream, directory, drains, membership, clock, random)
         membership.add_part(drains)
         membership.add_part(quarantines)
@@ -66,7 +70,7 @@
             drains=drains,
             directory=directory,
             router=directory.router("g"),
-            register=register,
+            quarantine_registry=quarantine_registry,
             quarantines=quarantines,
         )
         loop = asyncio.get_running_loop()
@@ -75,154 +79,156 @@
             loop.create_task(quarantines.run()),
         ]
 
-    return VirtualFleet(n_instances, seed, add_parts)
+    return VirtualFleet(n_instances, seed, add_services)
 
 
-def n_using(fleet):
-    """How many instances would send the replica a new call now."""
+def n_using_replica(fleet):
+    """Count the instances that would send the replica a new call now."""
     return sum(
         item.parts["router"].holds(REPLICA, 1, item.parts["clock"].now_ms())
         for item in fleet.instances.values()
     )
 
 
-def _list(fleet, state):
+def _list_replica(fleet, state):
     entry = InstanceModel(
         name="r0", role="upstream", zone="z", address=REPLICA.address, state=state
     )
     fleet.table.put("instances", "r0", encode_instance(entry), None)
 
 
-def _by_list(fleet, upstream):
-    _list(fleet, "leaving")
+def _drain_by_list(fleet, upstream):
+    _list_replica(fleet, "leaving")
 
 
-def _by_health(fleet, upstream):
+def _drain_by_health_check(fleet, upstream):
     upstream.is_draining = True
 
 
-def _by_refusal(fleet, upstream):
+def _drain_by_refused_connection(fleet, upstream):
     upstream.is_listening = False
     fleet.instances["entry-3"].parts["drains"].signal("r0", DrainSignal.REFUSED)
 
 
-def _by_answer(fleet, upstream):
+def _drain_by_answer(fleet, upstream):
     upstream.is_draining = True
     fleet.instances["entry-3"].parts["drains"].signal("r0", DrainSignal.ANSWER)
 
 
-def _by_operator(fleet, upstream):
+def _drain_by_operator(fleet, upstream):
     fleet.instances["entry-3"].parts["drains"].signal("r0", DrainSignal.OPERATOR)
 
 
 SIGNALS = {
-    "list": (_by_list, BOUND_S),
-    # The first signal is a check, which comes every 5 s.
-    "health": (_by_health, 5.5 + BOUND_S),
-    "refused": (_by_refusal, BOUND_S),
-    "answer": (_by_answer, BOUND_S),
-    "operator": (_by_operator, BOUND_S),
+    "list": (_drain_by_list, PROPAGATION_LIMIT_S),
+    # The drain is detected by a health check, which runs every 5 s.
+    "health": (_drain_by_health_check, 5.5 + PROPAGATION_LIMIT_S),
+    "refused": (_drain_by_refused_connection, PROPAGATION_LIMIT_S),
+    "answer": (_drain_by_answer, PROPAGATION_LIMIT_S),
+    "operator": (_drain_by_operator, PROPAGATION_LIMIT_S),
 }
 
 
-def lose_replica(register, index, now_ms):
-    """Lose a replica to one request; every loss but the first is of its probe."""
+def record_replica_loss(quarantine_registry, index, now_ms):
+    """Record a replica lost to request "f"; all but the first are losses of a probe."""
     replica = Replica(f"r{index}", "", f"z{index}")
-    register.record_loss("f", replica, "s0", now_ms, now_ms, is_probe=index > 0)
+    quarantine_registry.record_loss(
+        "f", replica, "s0", now_ms, now_ms, is_probe=index > 0
+    )
 
 
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("signal", SIGNALS)
-def test_drain_reaches_all_and_lasts(signal, seed):
-    """No instance may use a leaving replica 3 s after its first signal, or later."""
-    start, bound_s = SIGNALS[signal]
+def test_drain_reaches_all_instances_and_persists(signal, seed):
+    """No instance may use a draining replica from 3 s after the first signal on."""
+    start_drain, limit_s = SIGNALS[signal]
 
     async def scenario():
         upstream = Upstream()
         fleet = make_fleet(upstream, seed)
-        await fleet.settle()
-        _list(fleet, "live")
+        await fleet.wait_until_converged()
+        _list_replica(fleet, "live")
         await asyncio.sleep(1.0)
-        assert n_using(fleet) == N
-        start(fleet, upstream)
-        await asyncio.sleep(bound_s)
+        assert n_using_replica(fleet) == N_INSTANCES
+        start_drain(fleet, upstream)
+        await asyncio.sleep(limit_s)
         n_late = 0
         for _ in range(900):
-            n_late += n_using(fleet)
+            n_late += n_using_replica(fleet)
             await asyncio.sleep(0.1)
         return n_late
 
     assert run_virtual(scenario()) == 0
 
 
-def test_urgent_news_does_not_wait_for_probes():
-    """At a larger fleet the probes alone would take longer than the bound."""
+def test_drain_notice_does_not_wait_for_probes():
+    """Notices must be sent at once: in a large fleet the probes alone are too slow."""
 
     async def scenario():
         upstream = Upstream()
         fleet = make_fleet(upstream, n_instances=60)
-        await fleet.settle()
-        _by_answer(fleet, upstream)
+        await fleet.wait_until_converged()
+        _drain_by_answer(fleet, upstream)
         await asyncio.sleep(0.1)
-        return n_using(fleet)
+        return n_using_replica(fleet)
 
     assert run_virtual(scenario()) <= 3
 
 
 @pytest.mark.parametrize("signal", ["list", "health", "refused", "answer"])
-def test_replica_that_comes_back_is_used(signal):
-    """A drain must end everywhere once its cause has ended, without an echo."""
-    start, _ = SIGNALS[signal]
+def test_recovered_replica_is_used_again(signal):
+    """A drain must end everywhere after its cause ended, and not be restored."""
+    start_drain, _ = SIGNALS[signal]
 
     async def scenario():
         upstream = Upstream()
         fleet = make_fleet(upstream)
-        await fleet.settle()
-        _list(fleet, "live")
+        await fleet.wait_until_converged()
+        _list_replica(fleet, "live")
         await asyncio.sleep(1.0)
-        start(fleet, upstream)
+        start_drain(fleet, upstream)
         await asyncio.sleep(60.0)
-        assert n_using(fleet) == 0
+        assert n_using_replica(fleet) == 0
         upstream.is_draining, upstream.is_listening = False, True
-        _list(fleet, "live")
+        _list_replica(fleet, "live")
         await asyncio.sleep(8.0)
-        first = n_using(fleet)
+        n_after_recovery = n_using_replica(fleet)
         await asyncio.sleep(90.0)
-        return first, n_using(fleet)
+        return n_after_recovery, n_using_replica(fleet)
 
-    assert run_virtual(scenario()) == (N, N)
+    assert run_virtual(scenario()) == (N_INSTANCES, N_INSTANCES)
 
 
 @pytest.mark.parametrize("fault", ["cut", "paused"])
 def test_drain_reaches_an_instance_that_missed_it(fault):
-    """An instance that missed the first spread must still learn of the drain."""
+    """An instance that missed the first notice must still receive the drain."""
 
     async def scenario():
         upstream = Upstream()
         fleet = make_fleet(upstream)
-        await fleet.settle()
+        await fleet.wait_until_converged()
         missed = fleet.instances["entry-8"]
         others = fleet.addresses([name for name in fleet.instances if name[-1] != "8"])
         if fault == "cut":
             fleet.network.cut_both([missed.address], others)
         else:
             missed.host.pause()
-        _by_answer(fleet, upstream)
+        _drain_by_answer(fleet, upstream)
         await asyncio.sleep(6.0)
         fleet.network.heal()
         missed.host.resume()
-        await asyncio.sleep(BOUND_S)
-        return n_using(fleet)
+        await asyncio.sleep(PROPAGATION_LIMIT_S)
+        return n_using_replica(fleet)
 
     assert run_virtual(scenario()) == 0
 
 
-def test_quarantine_reaches_all_and_a_lift_is_final():
-    """Peers must refuse a crashing request, and an echo must not undo a lift."""
+def test_quarantine_reaches_all_instances_and_lift_is_final():
+    """Peers must refuse a crashing request; old notices must not undo a lift."""
 
     async def scenario():
         fleet = make_fleet(Upstream())
-        await fleet.settle()
+        await fleet.wait_until_converged()
 
         def n_refusing():
             return sum(
@@ -231,33 +237,35 @@
             )
 
         for index in (1, 2):
-            parts = fleet.instances[f"entry-{index}"].parts
-            now_ms = parts["clock"].now_ms()
-            lose_replica(parts["register"], index, now_ms)
-        await asyncio.sleep(BOUND_S)
+            services = fleet.instances[f"entry-{index}"].parts
+            now_ms = services["clock"].now_ms()
+            record_replica_loss(services["quarantine_registry"], index, now_ms)
+        await asyncio.sleep(PROPAGATION_LIMIT_S)
         n_before = n_refusing()
-        # One instance misses the lift and then passes on what it still holds.
+        # This instance misses the lift and then sends its outdated quarantine.
         fleet.instances["entry-8"].host.pause()
         await fleet.instances["entry-5"].parts["quarantines"].lift("f")
-        await asyncio.sleep(BOUND_S)
+        await asyncio.sleep(PROPAGATION_LIMIT_S)
         fleet.instances["entry-8"].host.resume()
-        await asyncio.sleep(BOUND_S)
+        await asyncio.sleep(PROPAGATION_LIMIT_S)
         n_after = n_refusing()
         await asyncio.sleep(120.0)
         return n_before, n_after, n_refusing()
 
-    assert run_virtual(scenario()) == (N, 0, 0)
+    assert run_virtual(scenario()) == (N_INSTANCES, 0, 0)
 
 
-def test_quarantine_ends_without_an_echo():
-    """Notices that go round must not prolong a quarantine."""
+def test_repeated_notices_do_not_prolong_a_quarantine():
+    """A quarantine must end on time although its notices keep circulating."""
 
     async def scenario():
         fleet = make_fleet(Upstream())
-        await fleet.settle()
-        parts = fleet.instances["entry-1"].parts
+        await fleet.wait_until_converged()
+        services = fleet.instances["entry-1"].parts
         for index in range(2):
-            lose_replica(parts["register"], index, parts["clock"].now_ms())
+            record_replica_loss(
+                services["quarantine_registry"], index, services["clock"].now_ms()
+            )
         await asyncio.sleep(301.0)
         return sum(
             bool(item.parts["quarantines"].suspicions())
@@ -267,28 +275,28 @@
     assert run_virtual(scenario()) == 0
 
 
-def test_drain_known_before_its_group():
-    """A notice that precedes the configuration must hold for its routers too."""
+def test_drain_notice_before_its_group_is_known():
+    """A notice received before its group is configured must apply to the group."""
 
     async def scenario():
         fleet = make_fleet(Upstream())
-        await fleet.settle()
+        await fleet.wait_until_converged()
         fleet.instances["entry-1"].parts["drains"].signal("r0", DrainSignal.OPERATOR)
-        await asyncio.sleep(BOUND_S)
-        parts = fleet.instances["entry-2"].parts
-        parts["directory"].add_group(replace(GROUP, name="late"))
-        await asyncio.sleep(BOUND_S)
-        now_ms = parts["clock"].now_ms()
-        return parts["directory"].router("late").holds(REPLICA, 1, now_ms)
+        await asyncio.sleep(PROPAGATION_LIMIT_S)
+        services = fleet.instances["entry-2"].parts
+        services["directory"].add_group(replace(GROUP, name="late"))
+        await asyncio.sleep(PROPAGATION_LIMIT_S)
+        now_ms = services["clock"].now_ms()
+        return services["directory"].router("late").holds(REPLICA, 1, now_ms)
 
     assert not run_virtual(scenario())
 
 
 @pytest.mark.parametrize(("sequence", "is_refused"), [(4, False), (6, True)])
-def test_only_a_later_loss_follows_a_lift(sequence, is_refused):
-    """An old notice that arrives after the lift must change nothing."""
+def test_only_a_notice_newer_than_the_lift_applies(sequence, is_refused):
+    """A notice that is older than the lift and arrives after it must be ignored."""
     clock = SimpleNamespace(now_ms=lambda: 0.0, wall_ms=lambda: 0.0)
-    news = QuarantineNews(QuarantineRegister(QuarantineSettings()), clock, None)
+    exchange = QuarantineNews(QuarantineRegister(QuarantineSettings()), clock, None)
     digest = PeerDigest(
         sender="entry-1",
         sender_address="a:1",
@@ -300,5 +308,5 @@
             QuarantineNotice("f", ("r1", "r2"), 60_000.0, sequence),
         ),
     )
-    news.absorb(digest)
-    assert news.is_quarantined("f") is is_refused
+    exchange.absorb(digest)
+    assert exchange.is_quarantined("f") is is_refused
--- a/chestnuthall/daemon/tests/test_status.py
+++ b/chestnuthall/daemon/tests/test_status.py
@@ -1,4 +1,8 @@
-"""Guards the rate of status writes, and that a lost race heals."""
+"""Tests of status writes to the store.
+
+Too frequent writes would use up the store's write rate; a conflict or a lost answer
+must not make every later write fail on an outdated version.
+"""
 
 import asyncio
 from random import Random
@@ -18,15 +22,15 @@
 
 
 class OneObjectStore:
-    """Holds one object; each write may meet a planned failure."""
+    """Fake store with one object; writes return the given failures in order."""
 
     def __init__(self, failures):
-        self.held = None
+        self.stored = None
         self.failures = list(failures)
         self.n_writes = 0
 
     async def get(self, kind, name, timeout_ms):
-        return self.held or OBJECT_NOT_FOUND.because("none")
+        return self.stored or OBJECT_NOT_FOUND.because("none")
 
     async def create(self, kind, name, value, timeout_ms):
         return await self.update(kind, name, value, 0, timeout_ms)
@@ -36,13 +40,13 @@
         if self.failures:
             failure = self.failures.pop(0)
             if failure is not None:
-                # Another writer's change, or the own one without its answer.
-                self.held = StoredObject(kind, name, self.held.version + 1, value)
+                # Either another writer's change, or this write with its answer lost.
+                self.stored = StoredObject(kind, name, self.stored.version + 1, value)
                 return failure
-        if version != (self.held.version if self.held else 0):
+        if version != (self.stored.version if self.stored else 0):
             return OBJECT_CONFLICT.because("changed")
-        self.held = StoredObject(kind, name, version + 1, value)
-        return self.held
+        self.stored = StoredObject(kind, name, version + 1, value)
+        return self.stored
 
 
 def _reporter(store, n_instances=9):
@@ -57,8 +61,8 @@
 @pytest.mark.parametrize(
     ("n_instances", "interval_ms"), [(1, 5_000), (9, 5_000), (1_900, 63_333)]
 )
-def test_fleet_stays_within_its_writes(n_instances, interval_ms):
-    """All instances together must leave the store's writes to the claims."""
+def test_status_writes_leave_capacity_for_claims(n_instances, interval_ms):
+    """Status writes of the whole fleet must leave the store's write rate to claims."""
     reporter = _reporter(None, n_instances)
     assert reporter.interval_ms() == pytest.approx(interval_ms, abs=1)
 
@@ -71,14 +75,14 @@
         STORE_WRITE_UNKNOWN.because("answer lost"),
     ],
 )
-def test_next_write_heals_a_failure(failure):
-    """A version that is no longer known must be read again, not guessed."""
+def test_next_write_recovers_from_a_failure(failure):
+    """After a failed write the version must be read again, not assumed."""
 
     async def scenario():
         store = OneObjectStore([None, failure])
         reporter = _reporter(store)
         for _ in range(3):
             await reporter.write()
-        return store.held.version
+        return store.stored.version
 
     assert asyncio.run(scenario()) == 3
--- a/chestnuthall/daemon/tests/test_two_level.py
+++ b/chestnuthall/daemon/tests/test_two_level.py
@@ -1,4 +1,9 @@
-"""Guards that a divided search never claims more than its parts gave it."""
+"""Tests of searches that are divided among peers.
+
+Guards against coverage that is counted twice or claimed for shards that a peer did
+not answer, which happens if a peer fails or answers for other shards or another
+snapshot.
+"""
 
 import asyncio
 from types import SimpleNamespace
@@ -38,7 +43,7 @@
 CONTEXT = FanOutContext(router=None, budget=None, quarantine=None, caller_class=CLASS)
 
 
-def _partial(shard_ids, snapshot_id=4):
+def _make_partial_answer(shard_ids, snapshot_id=4):
     shards = [shard for shard in MAP.shards if shard.shard_id in shard_ids]
     answers = {key: ShardAnswer("c", key, snapshot_id, (), 10) for key in shard_ids}
     hits = tuple(Hit(key, 1.0, "") for key in shard_ids)
@@ -47,55 +52,57 @@
     )
 
 
-def _right(call):
-    return _partial(call.shard_ids)
+def _answer_all(call):
+    return _make_partial_answer(call.shard_ids)
 
 
-def _fewer_shards(call):
-    return _partial(call.shard_ids[1:])
+def _answer_fewer_shards(call):
+    return _make_partial_answer(call.shard_ids[1:])
 
 
-def _other_snapshot(call):
-    return _partial(call.shard_ids, 5)
+def _answer_other_snapshot(call):
+    return _make_partial_answer(call.shard_ids, 5)
 
 
-def _gone(call):
+def _fail_snapshot_unavailable(call):
     return SNAPSHOT_GONE.because("x")
 
 
-def _lost(call):
+def _fail_connection_lost(call):
     return CONNECTION_LOST.because("x")
 
 
-def _quarantined(call):
+def _fail_quarantined(call):
     return QUARANTINED.because("x")
 
 
 @pytest.mark.parametrize(
     ("peer", "is_peer_used", "kind"),
     [
-        pytest.param(_right, True, None, id="right"),
-        pytest.param(_fewer_shards, False, None, id="fewer-shards"),
-        pytest.param(_other_snapshot, False, None, id="other-snapshot"),
-        pytest.param(_gone, False, None, id="snapshot-gone"),
-        pytest.param(_lost, False, None, id="peer-lost"),
-        pytest.param(_quarantined, True, QUARANTINED, id="quarantined"),
+        pytest.param(_answer_all, True, None, id="right"),
+        pytest.param(_answer_fewer_shards, False, None, id="fewer-shards"),
+        pytest.param(_answer_other_snapshot, False, None, id="other-snapshot"),
+        pytest.param(
+            _fail_snapshot_unavailable, False, None, id="snapshot-unavailable"
+        ),
+        pytest.param(_fail_connection_lost, False, None, id="peer-lost"),
+        pytest.param(_fail_quarantined, True, QUARANTINED, id="quarantined"),
     ],
 )
-def test_parts_of_peers(peer, is_peer_used, kind):
-    """Every shard must count once, from its peer or, failing that, from here."""
-    asked, run_here = [], []
+def test_each_shard_is_counted_once(peer, is_peer_used, kind):
+    """Each shard must count once, from its peer or, if that fails, from a local run."""
+    shard_ids_at_peers, local_shard_ids = [], []
 
     async def query_shards(address, call, timeout_ms):
-        asked.extend(call.shard_ids)
+        shard_ids_at_peers.extend(call.shard_ids)
         return peer(call)
 
     async def run_shards(request, sub_map, context):
         ids = [shard.shard_id for shard in sub_map.shards]
-        run_here.extend(ids)
-        part = _partial(ids)
-        account = FanOutAccount(n_calls=part.n_calls)
-        return Completion(None, part.hits, part.coverage, 4, account)
+        local_shard_ids.extend(ids)
+        partial = _make_partial_answer(ids)
+        account = FanOutAccount(n_calls=partial.n_calls)
+        return Completion(None, partial.hits, partial.coverage, 4, account)
 
     async def scenario():
         members = tuple(
@@ -127,8 +134,8 @@
         return await two_level.complete(request, MAP, CONTEXT)
 
     completion = asyncio.run(scenario())
-    assert len(asked) > N_SHARDS / 3
-    assert bool(set(asked) & set(run_here)) is not is_peer_used
+    assert len(shard_ids_at_peers) > N_SHARDS / 3
+    assert bool(set(shard_ids_at_peers) & set(local_shard_ids)) is not is_peer_used
     if kind is not None:
         assert completion.failure.kind is kind
         return
--- a/chestnuthall/daemon/tests/virtual_fleet.py
+++ b/chestnuthall/daemon/tests/virtual_fleet.py
@@ -1,4 +1,4 @@
-"""Entry instances without callers on one virtual-time loop, for failure tests."""
+"""Fleet of entry instances without callers, in virtual time, for fault tests."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -22,11 +22,11 @@
 from chestnuthall.standins.objectapi import ObjectTable
 from chestnuthall.standins.peers import Host, HostClock, PeerNetwork
 
-ENTRY = "instances"
+INSTANCE_KIND = "instances"
 
 
 class MemoryStore:
-    """The list of instances of an object table, as the store port."""
+    """Store port over an object table; serves only the instance list."""
 
     def __init__(self, fleet, host):
         self._fleet = fleet
@@ -34,7 +34,7 @@
         self._host = host
 
     async def list_kind(self, kind, timeout_ms):
-        if self._fleet.is_store_down:
+        if self._fleet.is_store_unavailable:
             return STORE_UNAVAILABLE.because("down")
         return tuple(_stored(entry) for entry in self._table.list_kind(kind))
 
@@ -43,7 +43,7 @@
             kind, after_version, timeout_ms / 1000.0
         )
         await self._host.wait_running()
-        if self._fleet.is_store_down:
+        if self._fleet.is_store_unavailable:
             return STORE_UNAVAILABLE.because("down")
         return WatchBatch(
             max((change.version for change in changes), default=after_version),
@@ -62,7 +62,7 @@
 
 @dataclass
 class VirtualInstance:
-    """One process: its membership, its host and its background tasks."""
+    """One instance process: its host, membership, services and background tasks."""
 
     name: str
     address: str
@@ -85,15 +85,19 @@
 
 
 class VirtualFleet:
-    """Starts, stops, pauses and cuts instances; ``add_parts`` adds services."""
+    """Instances on an in-memory peer network and instance list.
 
-    def __init__(self, n_instances, seed=1, add_parts=None, settings=None):
+    ``add_services(instance, clock, listed)`` is called for each instance that
+    starts and can add further services to it.
+    """
+
+    def __init__(self, n_instances, seed=1, add_services=None, settings=None):
         self.random = Random(seed)
         self.network = PeerNetwork(Random(seed + 1))
         self.table = ObjectTable()
-        self.is_store_down = False
+        self.is_store_unavailable = False
         self.instances = {}
-        self._add_parts = add_parts
+        self._add_services = add_services
         self._settings = settings
         for index in range(n_instances):
             self.start(f"entry-{index}")
@@ -107,10 +111,10 @@
             peer_address=address,
             state=state,
         )
-        self.table.put(ENTRY, name, encode_instance(model), None)
+        self.table.put(INSTANCE_KIND, name, encode_instance(model), None)
 
-    def drop_from_list(self, name):
-        self.table.delete(ENTRY, name, None)
+    def remove_from_instance_list(self, name):
+        self.table.delete(INSTANCE_KIND, name, None)
 
     def start(self, name, address=None, *, is_listed=True, wall_offset_ms=1e12):
         address = address or f"10.0.0.{name.rpartition('-')[2]}:1"
@@ -129,8 +133,8 @@
             settings=self._settings,
         )
         instance = VirtualInstance(name, address, host, membership)
-        if self._add_parts is not None:
-            self._add_parts(instance, clock, listed)
+        if self._add_services is not None:
+            self._add_services(instance, clock, listed)
         self.network.listen(address, membership, host)
         if is_listed:
             self.put_on_list(name, address)
@@ -147,14 +151,14 @@
         self.network.stop_listening(instance.address)
         instance.kill()
         if not is_listed:
-            self.drop_from_list(name)
+            self.remove_from_instance_list(name)
         return instance
 
     def addresses(self, names):
         return [self.instances[name].address for name in names]
 
     async def wait(self, condition, timeout_s=60.0):
-        """Return the virtual seconds until the condition holds, else fail."""
+        """Wait for a condition and return the virtual seconds it took; else fail."""
         loop = asyncio.get_running_loop()
         started_s = loop.time()
         while not condition():
@@ -163,8 +167,8 @@
             await asyncio.sleep(0.05)
         return loop.time() - started_s
 
-    def all_see(self, names, observers=None):
-        """Return whether each observer counts exactly these instances live."""
+    def have_equal_views(self, names, observers=None):
+        """Return whether each observer regards exactly these instances as live."""
         expected = set(names)
         return all(
             instance.live_names == expected - {name}
@@ -176,5 +180,5 @@
         counts = (item.membership.counts for item in self.instances.values())
         return sum(item.n_joining for item in counts)
 
-    async def settle(self):
-        await self.wait(lambda: self.all_see(self.instances))
+    async def wait_until_converged(self):
+        await self.wait(lambda: self.have_equal_views(self.instances))
