--- a/benchmarks/_switches.py
+++ b/benchmarks/_switches.py
@@ -8,8 +8,8 @@
 
 from benchmarks._deployments import Deployment, document_of
 from chestnuthall.core.admission import AdaptiveLimit, AdmissionAction, AdmissionQueue
+from chestnuthall.core.admission._capacity import Capacity
 from chestnuthall.core.admission._limit import RATIO_MAX
-from chestnuthall.core.admission._room import Room
 from chestnuthall.core.admission._tickets import ClassQueue, Ticket
 from chestnuthall.core.model import (
     AdmissionRule,
@@ -38,10 +38,10 @@
 
     def _admit_by_share(self, now_ms: float) -> AdmissionAction | None:
         ticket = next(iter(self.waiting.values()))
-        if not self.room.has_room(ticket.cost):
+        if not self.capacity.has_capacity(ticket.cost):
             return None
         queue = self.queues[ticket.class_name]
-        return self._take_out(queue, ticket, AdmissionRule.IMMEDIATE, now_ms)
+        return self._admit_or_refuse(queue, ticket, AdmissionRule.IMMEDIATE, now_ms)
 
 
 def _choose_random(
@@ -63,7 +63,7 @@
 Switch = Callable[[], object]
 
 _SERVICE = "chestnuthall.services._admission"
-_ROOM = "chestnuthall.core.admission._room"
+_CAPACITY = "chestnuthall.core.admission._capacity"
 
 SWITCHES: dict[str, tuple[Switch, ...]] = {
     "baseline": (
@@ -79,12 +79,16 @@
     "fleet_shares": (lambda: patch.object(FleetUse, "absorb", _skip),),
     "prediction": (
         lambda: patch.object(
-            ClassQueue, "charge", lambda queue, cost, _: queue._add(cost)
+            ClassQueue,
+            "charge_service",
+            lambda queue, cost, _: queue._add_service(cost),
         ),
     ),
     "adaptive_limit": (lambda: patch.object(AdaptiveLimit, "adapt", _skip),),
-    "saved_room": (lambda: patch(f"{_ROOM}.CREDIT_MAX_MS", 0.0),),
-    "urgent_room": (lambda: patch.object(Room, "has_urgent_room", lambda *_: False),),
+    "saved_room": (lambda: patch(f"{_CAPACITY}.CREDIT_MAX_MS", 0.0),),
+    "urgent_room": (
+        lambda: patch.object(Capacity, "has_urgent_capacity", lambda *_: False),
+    ),
     "part_release": (
         lambda: patch(f"{_SERVICE}.Admission.on_call_result", _observe_only),
     ),
--- a/chestnuthall/core/accounts/_explain.py
+++ b/chestnuthall/core/accounts/_explain.py
@@ -53,7 +53,7 @@
     AdmissionRule.LEAST_NORMALISED_SERVICE: (
         "its class had received the least service for its share"
     ),
-    AdmissionRule.RESERVED_ROOM: "there was room reserved for its kind of request",
+    AdmissionRule.RESERVED_CAPACITY: "there was room reserved for its kind of request",
     AdmissionRule.ONLY_CANDIDATE: "no other class had a query waiting",
     AdmissionRule.NOT_ADMITTED: "it was not admitted",
 }
@@ -197,11 +197,11 @@
     first: Account,
     document: EnvironmentDocument,
 ) -> Verdict:
-    if rule is AdmissionRule.RESERVED_ROOM:
+    if rule is AdmissionRule.RESERVED_CAPACITY:
         group = document.group_named(first.group)
         reserved = dict(group.reserved_ratios) if group is not None else {}
-        has_room = reserved.get(first.kind, 0.0) > 0.0
-        return Verdict.RIGHT if has_room else Verdict.WRONG
+        has_capacity = reserved.get(first.kind, 0.0) > 0.0
+        return Verdict.RIGHT if has_capacity else Verdict.WRONG
     if expected.a_first is None:
         return Verdict.CANNOT_TELL
     return Verdict.RIGHT if expected.a_first else Verdict.WRONG
@@ -210,7 +210,7 @@
 def _verdict_sentence(
     verdict: Verdict, expected: ExpectedOrder, first: Account, rule: AdmissionRule
 ) -> str:
-    if rule is AdmissionRule.RESERVED_ROOM:
+    if rule is AdmissionRule.RESERVED_CAPACITY:
         word = "is" if verdict is Verdict.RIGHT else "is not"
         return f"A part of group {first.group} {word} reserved for {first.kind}."
     openings = {
--- a/chestnuthall/core/accounts/tests/test_explain.py
+++ b/chestnuthall/core/accounts/tests/test_explain.py
@@ -111,10 +111,10 @@
     (
         "room reserved for the kind",
         (
-            replace(URGENT, admission=AdmissionAccount(RULE.RESERVED_ROOM, 1.0, 1)),
+            replace(URGENT, admission=AdmissionAccount(RULE.RESERVED_CAPACITY, 1.0, 1)),
             BATCH,
         ),
-        (RULE.RESERVED_ROOM, Verdict.RIGHT, Confidence.CERTAIN),
+        (RULE.RESERVED_CAPACITY, Verdict.RIGHT, Confidence.CERTAIN),
         "is reserved for search",
     ),
     (
--- a/chestnuthall/core/admission/__init__.py
+++ b/chestnuthall/core/admission/__init__.py
@@ -12,16 +12,16 @@
     Reconfigured,
     Refuse,
     Release,
-    ReleasePart,
+    ReleaseCalls,
+    WakeUpDue,
     Withdraw,
-    Woken,
 )
 from chestnuthall.core.admission._fleet import (
     DemandHistory,
     InstanceDemand,
-    UseLedger,
-    UseNews,
-    part_of_demand,
+    UsageLedger,
+    UsageReport,
+    demand_fraction,
 )
 from chestnuthall.core.admission._limit import AdaptiveLimit
 from chestnuthall.core.admission._queue import AdmissionQueue
@@ -42,10 +42,10 @@
     "Reconfigured",
     "Refuse",
     "Release",
-    "ReleasePart",
-    "UseLedger",
-    "UseNews",
+    "ReleaseCalls",
+    "UsageLedger",
+    "UsageReport",
     "Withdraw",
-    "Woken",
-    "part_of_demand",
+    "WakeUpDue",
+    "demand_fraction",
 ]
--- a/chestnuthall/core/admission/_room.py
+++ b/chestnuthall/core/admission/_capacity.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True)
-class Room:
+class Capacity:
     """Room for shard calls that run at once; costs are in shard calls.
 
     The running cost may pass the limit for a moment as long as its average
@@ -59,7 +59,7 @@
         """Average use of the limit lately."""
         return self.mean_running_cost / self.limit_cost if self.limit_cost else 1.0
 
-    def has_room(self, cost: float) -> bool:
+    def has_capacity(self, cost: float) -> bool:
         """Return whether a query may start now.
 
         Half of its cost has to fit, so that the running cost is centred on the
@@ -68,7 +68,7 @@
         """
         return self._missing_cost_ms(cost) <= 0.0
 
-    def has_urgent_room(self, cost: float) -> bool:
+    def has_urgent_capacity(self, cost: float) -> bool:
         """Return whether the most urgent class may start a query on credit."""
         is_in_debt = self.credit_cost_ms < -URGENT_DEBT_MAX_MS * self.limit_cost
         running_max = URGENT_RUNNING_FACTOR * self.limit_cost
@@ -81,7 +81,7 @@
         excess_cost = self.running_cost + cost / 2.0 - self.limit_cost
         return excess_cost * SPEND_MS - self.credit_cost_ms
 
-    def has_reserved_room(self, kind: str, cost: float) -> bool:
+    def has_reserved_capacity(self, kind: str, cost: float) -> bool:
         """Return whether a query fits into the part reserved for its kind.
 
         Other kinds may have borrowed the part while it was idle; they repay
@@ -90,14 +90,14 @@
         reserved_cost = self.reserved_ratios.get(kind, 0.0) * self.limit_cost
         return self.running_cost_by_kind.get(kind, 0.0) + cost <= reserved_cost
 
-    def take(self, kind: str, cost: float) -> None:
+    def acquire(self, kind: str, cost: float) -> None:
         """Note calls that start."""
         self.running_cost += cost
         self.largest_cost = max(self.largest_cost, cost)
         by_kind = self.running_cost_by_kind
         by_kind[kind] = by_kind.get(kind, 0.0) + cost
 
-    def give_back(self, kind: str, cost: float) -> None:
+    def release(self, kind: str, cost: float) -> None:
         """Note calls that ended."""
         self.running_cost -= cost
         self.running_cost_by_kind[kind] -= cost
--- a/chestnuthall/core/admission/_events.py
+++ b/chestnuthall/core/admission/_events.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReleasePart(AdmissionEvent):
+class ReleaseCalls(AdmissionEvent):
     """Some shard calls of an admitted query ended after ``service_ms`` each."""
 
     ticket: str
@@ -83,7 +83,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Woken(AdmissionEvent):
+class WakeUpDue(AdmissionEvent):
     """The time that ``AdmissionQueue.wake_at_ms`` named has come."""
 
 
--- a/chestnuthall/core/admission/_fleet.py
+++ b/chestnuthall/core/admission/_fleet.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class UseNews:
+class UsageReport:
     """Use of a group by a class on one instance, in shard calls.
 
     ``served_cost`` counts from the start of the incarnation, which is a wall
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Known:
-    news: UseNews
+    report: UsageReport
     heard_ms: float
 
 
@@ -47,40 +47,40 @@
     made_wall_ms: float
 
 
-class UseLedger:
+class UsageLedger:
     """The newest use of every other instance, per group and class.
 
     Examples
     --------
-    >>> ledger = UseLedger()
-    >>> news = UseNews("a", 1, 1, "desk", "clerk", 40.0, 10.0)
-    >>> ledger.take(news, 0.0)
+    >>> ledger = UsageLedger()
+    >>> report = UsageReport("a", 1, 1, "desk", "clerk", 40.0, 10.0)
+    >>> ledger.record(report, 0.0)
     0.0
-    >>> later = UseNews("a", 1, 2, "desk", "clerk", 70.0, 10.0)
-    >>> ledger.take(later, 0.0), ledger.take(later, 0.0), ledger.take(news, 0.0)
+    >>> later = UsageReport("a", 1, 2, "desk", "clerk", 70.0, 10.0)
+    >>> ledger.record(later, 0.0), ledger.record(later, 0.0), ledger.record(report, 0.0)
     (30.0, 0.0, 0.0)
     """
 
     def __init__(self) -> None:
         self._known: dict[tuple[str, str, str], _Known] = {}
 
-    def take(self, news: UseNews, now_ms: float) -> float:
+    def record(self, report: UsageReport, now_ms: float) -> float:
         """Return the service that the news adds to what was counted before.
 
         The first news of an instance sets only the starting point, since its
         service may lie long before the life of this instance. An incarnation
         that follows a known one counts from its start.
         """
-        key = (news.instance, news.group, news.class_name)
+        key = (report.instance, report.group, report.class_name)
         known = self._known.get(key)
-        if known is not None and _order(news) <= _order(known.news):
+        if known is not None and _order(report) <= _order(known.report):
             return 0.0
-        self._known[key] = _Known(news, now_ms)
+        self._known[key] = _Known(report, now_ms)
         if known is None:
             return 0.0
-        if news.incarnation > known.news.incarnation:
-            return news.served_cost
-        return max(0.0, news.served_cost - known.news.served_cost)
+        if report.incarnation > known.report.incarnation:
+            return report.served_cost
+        return max(0.0, report.served_cost - known.report.served_cost)
 
     def forget(self, live_names: frozenset[str], heard_before_ms: float) -> None:
         """Drop instances that left, and those that were silent for long."""
@@ -90,10 +90,10 @@
             if key[0] in live_names and known.heard_ms >= heard_before_ms
         }
 
-    def newest(self) -> list[UseNews]:
+    def newest_reports(self) -> list[UsageReport]:
         """Return what is known, the latest heard first."""
         ordered = sorted(self._known.values(), key=lambda known: -known.heard_ms)
-        return [known.news for known in ordered]
+        return [known.report for known in ordered]
 
     def demand_by_instance(
         self, group: str, heard_since_ms: float, class_name: str | None = None
@@ -101,21 +101,21 @@
         """Return the demand of a class, or of all, at each instance heard lately."""
         demand: dict[str, InstanceDemand] = {}
         for known in self._known.values():
-            news = known.news
-            if news.group != group or known.heard_ms < heard_since_ms:
+            report = known.report
+            if report.group != group or known.heard_ms < heard_since_ms:
                 continue
-            if class_name not in (None, news.class_name):
+            if class_name not in (None, report.class_name):
                 continue
-            before = demand.get(news.instance, InstanceDemand(0.0, 0.0))
-            demand[news.instance] = InstanceDemand(
-                before.cost + news.demand_cost,
-                max(before.made_wall_ms, news.made_wall_ms),
+            before = demand.get(report.instance, InstanceDemand(0.0, 0.0))
+            demand[report.instance] = InstanceDemand(
+                before.cost + report.demand_cost,
+                max(before.made_wall_ms, report.made_wall_ms),
             )
         return demand
 
 
-def _order(news: UseNews) -> tuple[int, int]:
-    return news.incarnation, news.sequence
+def _order(report: UsageReport) -> tuple[int, int]:
+    return report.incarnation, report.sequence
 
 
 class DemandHistory:
@@ -141,7 +141,7 @@
         return nearest[1]
 
 
-def part_of_demand(
+def demand_fraction(
     history: DemandHistory, others: Iterable[InstanceDemand], n_instances: int
 ) -> float:
     """Return this instance's part of the demand of the fleet.
@@ -152,9 +152,9 @@
     --------
     >>> history = DemandHistory()
     >>> history.add(1_000.0, 30.0)
-    >>> part_of_demand(history, [], 4)
+    >>> demand_fraction(history, [], 4)
     0.25
-    >>> round(part_of_demand(history, [InstanceDemand(10.0, 1_000.0)], 2), 3)
+    >>> round(demand_fraction(history, [InstanceDemand(10.0, 1_000.0)], 2), 3)
     0.727
     """
     relative = [
--- a/chestnuthall/core/admission/_queue.py
+++ b/chestnuthall/core/admission/_queue.py
@@ -2,6 +2,7 @@
 
 from functools import singledispatch
 
+from chestnuthall.core.admission._capacity import Capacity
 from chestnuthall.core.admission._choice import (
     choose_class,
     slack_of,
@@ -19,12 +20,11 @@
     Reconfigured,
     Refuse,
     Release,
-    ReleasePart,
+    ReleaseCalls,
+    WakeUpDue,
     Withdraw,
-    Woken,
 )
 from chestnuthall.core.admission._pace import Pace
-from chestnuthall.core.admission._room import Room
 from chestnuthall.core.admission._tickets import (
     AdmittedCounts,
     ClassQueue,
@@ -66,7 +66,7 @@
         limit_cost: float,
         reserved_ratios: tuple[tuple[str, float], ...] = (),
     ) -> None:
-        self.room = Room(limit_cost, dict(reserved_ratios))
+        self.capacity = Capacity(limit_cost, dict(reserved_ratios))
         self.part_ratio = 1.0
         self.class_part_ratios: dict[str, float] = {}
         self.pace = Pace()
@@ -81,18 +81,18 @@
     @property
     def utilisation_ratio(self) -> float:
         """Average running cost lately as a part of the limit."""
-        return self.room.utilisation_ratio
+        return self.capacity.utilisation_ratio
 
     def wake_at_ms(self) -> float | None:
-        """Return when ``Woken`` is due, or None while nothing depends on time."""
+        """Return when ``WakeUpDue`` is due, or None while nothing depends on time."""
         if not self.waiting:
             return None
         head = choose_class(self._busy(), self.slack)[0].head()
-        return None if head is None else self.room.wake_at_ms(head.cost)
+        return None if head is None else self.capacity.wake_at_ms(head.cost)
 
     def handle(self, event: AdmissionEvent) -> list[AdmissionAction]:
         """Apply one event and return the queries that are admitted or refused."""
-        elapsed_ms = self.room.advance(event.now_ms)
+        elapsed_ms = self.capacity.advance(event.now_ms)
         if elapsed_ms > 0.0:
             for queue in self.queues.values():
                 queue.age(elapsed_ms)
@@ -155,9 +155,11 @@
         if ticket is None:
             return None
         is_urgent = rule is AdmissionRule.URGENCY_WITHIN_SHARE and self._is_top(queue)
-        has_room = self.room.has_room(ticket.cost)
-        if has_room or (is_urgent and self.room.has_urgent_room(ticket.cost)):
-            return self._take_out(queue, ticket, rule, now_ms)
+        has_capacity = self.capacity.has_capacity(ticket.cost)
+        if has_capacity or (
+            is_urgent and self.capacity.has_urgent_capacity(ticket.cost)
+        ):
+            return self._admit_or_refuse(queue, ticket, rule, now_ms)
         return None
 
     def _is_top(self, queue: ClassQueue) -> bool:
@@ -166,23 +168,27 @@
         return queue.caller_class.urgency >= max(urgencies)
 
     def _admit_reserved(self, now_ms: float) -> AdmissionAction | None:
-        for kind in self.room.reserved_ratios:
+        for kind in self.capacity.reserved_ratios:
             busy = self._busy(kind)
             if not busy:
                 continue
             queue, _ = choose_class(busy, self.slack, kind)
             ticket = queue.head(kind)
-            if ticket is None or not self.room.has_reserved_room(kind, ticket.cost):
+            if ticket is None or not self.capacity.has_reserved_capacity(
+                kind, ticket.cost
+            ):
                 continue
-            return self._take_out(queue, ticket, AdmissionRule.RESERVED_ROOM, now_ms)
+            return self._admit_or_refuse(
+                queue, ticket, AdmissionRule.RESERVED_CAPACITY, now_ms
+            )
         return None
 
-    def _take_out(
+    def _admit_or_refuse(
         self, queue: ClassQueue, ticket: Ticket, rule: AdmissionRule, now_ms: float
     ) -> AdmissionAction:
         standings = self.standings()
         if self._is_immediate(ticket, now_ms):
-            if rule is not AdmissionRule.RESERVED_ROOM:
+            if rule is not AdmissionRule.RESERVED_CAPACITY:
                 rule = AdmissionRule.IMMEDIATE
         elif self._is_too_late(ticket, now_ms):
             self.drop(ticket)
@@ -207,17 +213,19 @@
         self.drop(ticket)
         queue.note_admission(ticket.cost, now_ms)
         self.running[ticket.name] = ticket
-        self.room.take(ticket.kind, ticket.cost)
+        self.capacity.acquire(ticket.kind, ticket.cost)
         name = ticket.class_name
         part_ratio = self.class_part_ratios.get(name, self.part_ratio)
-        queue.charge(ticket.cost, part_ratio)
+        queue.charge_service(ticket.cost, part_ratio)
         self.served_cost[name] = self.served_cost.get(name, 0.0) + ticket.cost
         self.admitted[name, rule] = self.admitted.get((name, rule), 0) + 1
 
     @property
     def slack(self) -> float:
         """Normalised service by which a class may be ahead within its share."""
-        return slack_of(self.queues.values(), self.room.limit_cost / self.part_ratio)
+        return slack_of(
+            self.queues.values(), self.capacity.limit_cost / self.part_ratio
+        )
 
     def standings(self) -> tuple[ClassStanding, ...]:
         """Return the standing of every class now."""
@@ -231,11 +239,11 @@
         if queue.is_retired and not queue.n_waiting:
             del self.queues[ticket.class_name]
 
-    def give_back(self, ticket: Ticket, cost: float) -> None:
+    def release(self, ticket: Ticket, cost: float) -> None:
         """Return room of a running query, at most what it still holds."""
         returned = min(cost, ticket.cost)
         ticket.cost -= returned
-        self.room.give_back(ticket.kind, returned)
+        self.capacity.release(ticket.kind, returned)
 
     def expected_wait_ms(self, ticket: Ticket) -> float:
         """Return how long a new query would wait behind those ahead of it."""
@@ -249,7 +257,7 @@
         shares[ticket.class_name] = queue.caller_class.share
         return self.pace.wait_ms(
             ahead_cost=ahead_cost,
-            limit_cost=self.room.limit_cost,
+            limit_cost=self.capacity.limit_cost,
             part_ratio=queue.caller_class.share / sum(shares.values()),
         )
 
@@ -326,18 +334,18 @@
     ticket = queue.running.pop(event.ticket, None)
     if ticket is None:
         return []
-    queue.give_back(ticket, ticket.cost)
+    queue.release(ticket, ticket.cost)
     if event.service_ms > 0.0:
         queue.pace.observe_query(ticket.kind, event.service_ms)
     return queue.admit_next(event.now_ms)
 
 
 @_apply.register
-def _(event: ReleasePart, queue: AdmissionQueue) -> list[AdmissionAction]:
+def _(event: ReleaseCalls, queue: AdmissionQueue) -> list[AdmissionAction]:
     ticket = queue.running.get(event.ticket)
     if ticket is None:
         return []
-    queue.give_back(ticket, event.cost)
+    queue.release(ticket, event.cost)
     queue.pace.observe_call(event.service_ms)
     return queue.admit_next(event.now_ms)
 
@@ -363,7 +371,7 @@
 
 
 @_apply.register
-def _(event: Woken, queue: AdmissionQueue) -> list[AdmissionAction]:
+def _(event: WakeUpDue, queue: AdmissionQueue) -> list[AdmissionAction]:
     return queue.admit_next(event.now_ms)
 
 
@@ -380,7 +388,7 @@
     class_queue = queue.queues.get(event.class_name)
     if class_queue is not None and queue.pace.call_ms is not None:
         shares = sum(item.caller_class.share for item in queue.queues.values())
-        fleet_per_ms = queue.room.limit_cost / queue.part_ratio / queue.pace.call_ms
+        fleet_per_ms = queue.capacity.limit_cost / queue.part_ratio / queue.pace.call_ms
         owed_per_ms = fleet_per_ms * class_queue.caller_class.share / shares
         class_queue.is_modest = event.cost_per_ms <= MODEST_RATIO * owed_per_ms
     return []
@@ -388,7 +396,7 @@
 
 @_apply.register
 def _(event: LimitChanged, queue: AdmissionQueue) -> list[AdmissionAction]:
-    queue.room.limit_cost = event.limit_cost
+    queue.capacity.limit_cost = event.limit_cost
     queue.part_ratio = event.part_ratio
     queue.class_part_ratios = dict(event.class_part_ratios)
     return queue.admit_next(event.now_ms)
@@ -396,7 +404,7 @@
 
 @_apply.register
 def _(event: Reconfigured, queue: AdmissionQueue) -> list[AdmissionAction]:
-    queue.room.reserved_ratios = dict(event.reserved_ratios)
+    queue.capacity.reserved_ratios = dict(event.reserved_ratios)
     previous = queue.queues
     queue.queues = {}
     for caller_class in event.classes:
--- a/chestnuthall/core/admission/_tickets.py
+++ b/chestnuthall/core/admission/_tickets.py
@@ -79,7 +79,7 @@
             heapify(heap)
         self.n_waiting -= 1
 
-    def charge(self, cost: float, part_ratio: float) -> None:
+    def charge_service(self, cost: float, part_ratio: float) -> None:
         """Count own service, and the like service that others give meanwhile.
 
         News of others is a second or two old. If an instance counted it only
@@ -88,21 +88,21 @@
         """
         predicted_cost = cost * (1.0 / max(PART_RATIO_MIN, part_ratio) - 1.0)
         self.predicted_cost += predicted_cost
-        self._add(cost + predicted_cost)
+        self._add_service(cost + predicted_cost)
 
     def settle(self, reported_cost: float) -> None:
         """Count service of others, in place of what was predicted of it."""
         confirmed_cost = min(reported_cost, self.predicted_cost)
         self.predicted_cost -= confirmed_cost
-        self._add(reported_cost - confirmed_cost)
+        self._add_service(reported_cost - confirmed_cost)
 
     def age(self, elapsed_ms: float) -> None:
         """Take back predicted service for which no news came."""
         lapsed_cost = self.predicted_cost * (1.0 - exp(-elapsed_ms / NEWS_DELAY_MS))
         self.predicted_cost -= lapsed_cost
-        self._add(-lapsed_cost)
+        self._add_service(-lapsed_cost)
 
-    def _add(self, cost: float) -> None:
+    def _add_service(self, cost: float) -> None:
         self.normalised_service += cost / self.caller_class.share
 
     def note_admission(self, cost: float, now_ms: float) -> None:
--- a/chestnuthall/core/admission/tests/test_capacity.py
+++ b/chestnuthall/core/admission/tests/test_capacity.py
@@ -6,12 +6,12 @@
     AdaptiveLimit,
     DemandHistory,
     InstanceDemand,
-    UseLedger,
-    UseNews,
-    part_of_demand,
+    UsageLedger,
+    UsageReport,
+    demand_fraction,
 )
+from chestnuthall.core.admission._capacity import Capacity
 from chestnuthall.core.admission._limit import RATIO_MAX, RATIO_MIN
-from chestnuthall.core.admission._room import Room
 from chestnuthall.core.admission._tickets import ClassQueue
 from chestnuthall.core.model import CallerClass
 
@@ -19,27 +19,27 @@
 @pytest.mark.parametrize("limit_cost", [1.5, 4.0, 10.0, 13.3, 90.0])
 def test_running_cost_averages_the_limit(limit_cost):
     """Fails when a part of less than a query is rounded up, or left unused."""
-    room = Room(limit_cost)
+    capacity = Capacity(limit_cost)
     ends, used_cost_ms, n_ms = [], 0.0, 20_000
     for now_ms in range(n_ms):
-        room.advance(float(now_ms))
+        capacity.advance(float(now_ms))
         for _ in [at_ms for at_ms in ends if at_ms <= now_ms]:
-            room.give_back("search", 10.0)
+            capacity.release("search", 10.0)
         ends = [at_ms for at_ms in ends if at_ms > now_ms]
-        while room.has_room(10.0):
-            room.take("search", 10.0)
+        while capacity.has_capacity(10.0):
+            capacity.acquire("search", 10.0)
             ends.append(now_ms + 30)
-        used_cost_ms += room.running_cost
+        used_cost_ms += capacity.running_cost
     assert used_cost_ms / n_ms == pytest.approx(limit_cost, rel=0.05)
 
 
 def test_a_saved_burst_is_bounded():
     """Fails when an idle instance could start more than its saved room."""
-    room = Room(10.0)
-    room.advance(60_000.0)
+    capacity = Capacity(10.0)
+    capacity.advance(60_000.0)
     n_started = 0
-    while room.has_room(10.0):
-        room.take("search", 10.0)
+    while capacity.has_capacity(10.0):
+        capacity.acquire("search", 10.0)
         n_started += 1
     assert n_started == 5
 
@@ -101,34 +101,34 @@
     assert max(ratios[8:]) - min(ratios[8:]) < 0.02
 
 
-def news(incarnation, sequence, served_cost, instance="a"):
-    return UseNews(instance, incarnation, sequence, "g", "c", served_cost, 5.0)
+def report(incarnation, sequence, served_cost, instance="a"):
+    return UsageReport(instance, incarnation, sequence, "g", "c", served_cost, 5.0)
 
 
 NEWS = {
-    "the_first_news_is_a_starting_point": ([news(1, 1, 40.0)], [0.0]),
+    "the_first_news_is_a_starting_point": ([report(1, 1, 40.0)], [0.0]),
     "later_news_adds_the_difference": (
-        [news(1, 1, 40.0), news(1, 2, 70.0)],
+        [report(1, 1, 40.0), report(1, 2, 70.0)],
         [0.0, 30.0],
     ),
     "repeated_news_adds_nothing": (
-        [news(1, 1, 40.0), news(1, 2, 70.0), news(1, 2, 70.0)],
+        [report(1, 1, 40.0), report(1, 2, 70.0), report(1, 2, 70.0)],
         [0.0, 30.0, 0.0],
     ),
     "reordered_news_adds_nothing_twice": (
-        [news(1, 1, 40.0), news(1, 3, 90.0), news(1, 2, 70.0)],
+        [report(1, 1, 40.0), report(1, 3, 90.0), report(1, 2, 70.0)],
         [0.0, 50.0, 0.0],
     ),
     "a_restarted_instance_counts_from_its_start": (
-        [news(1, 9, 40.0), news(2, 1, 10.0), news(2, 2, 15.0)],
+        [report(1, 9, 40.0), report(2, 1, 10.0), report(2, 2, 15.0)],
         [0.0, 10.0, 5.0],
     ),
     "late_news_of_the_life_before_adds_nothing": (
-        [news(1, 8, 40.0), news(2, 1, 10.0), news(1, 9, 60.0)],
+        [report(1, 8, 40.0), report(2, 1, 10.0), report(1, 9, 60.0)],
         [0.0, 10.0, 0.0],
     ),
     "instances_are_counted_apart": (
-        [news(1, 1, 40.0), news(1, 1, 20.0, "b"), news(1, 2, 25.0, "b")],
+        [report(1, 1, 40.0), report(1, 1, 20.0, "b"), report(1, 2, 25.0, "b")],
         [0.0, 0.0, 5.0],
     ),
 }
@@ -137,8 +137,8 @@
 @pytest.mark.parametrize(("heard", "added"), NEWS.values(), ids=NEWS.keys())
 def test_news_counts_once(heard, added):
     """Fails when late, repeated or reordered news is counted twice."""
-    ledger = UseLedger()
-    assert [ledger.take(item, 0.0) for item in heard] == added
+    ledger = UsageLedger()
+    assert [ledger.record(item, 0.0) for item in heard] == added
 
 
 PARTS = {
@@ -159,7 +159,7 @@
     history = DemandHistory()
     history.add(1_000.0, own)
     demands = [InstanceDemand(cost, 1_000.0) for cost in others]
-    result = part_of_demand(history, demands, n_instances)
+    result = demand_fraction(history, demands, n_instances)
     assert result == pytest.approx(part, abs=0.001)
 
 
@@ -168,7 +168,7 @@
     history = DemandHistory()
     history.add(1_000.0, 10.0)
     history.add(2_000.0, 60.0)
-    assert part_of_demand(history, [InstanceDemand(10.0, 1_000.0)], 2) == 0.5
+    assert demand_fraction(history, [InstanceDemand(10.0, 1_000.0)], 2) == 0.5
 
 
 def test_own_service_stands_for_that_of_others_until_news_comes():
@@ -178,7 +178,7 @@
     )
     confirmed, lapsed = ClassQueue(caller_class), ClassQueue(caller_class)
     for queue in (confirmed, lapsed):
-        queue.charge(10.0, part_ratio=0.25)
+        queue.charge_service(10.0, part_ratio=0.25)
         assert queue.normalised_service == pytest.approx(40.0)
     confirmed.settle(30.0)
     for queue in (confirmed, lapsed):
--- a/chestnuthall/core/admission/tests/test_queue.py
+++ b/chestnuthall/core/admission/tests/test_queue.py
@@ -15,9 +15,9 @@
     Reconfigured,
     Refuse,
     Release,
-    ReleasePart,
+    ReleaseCalls,
+    WakeUpDue,
     Withdraw,
-    Woken,
 )
 from chestnuthall.core.model import AdmissionRule as Rule
 from chestnuthall.core.model import CallerClass, QueriesAhead
@@ -124,7 +124,7 @@
     "an_urgent_class_that_asks_for_little_stays_within_its_share": (
         [
             HOLD,
-            ReleasePart(0.0, "hold", 1.0, 10.0),
+            ReleaseCalls(0.0, "hold", 1.0, 10.0),
             arrive("f", "first"),
             arrive("u", "urgent"),
             FleetUseReported(0.0, "urgent", 1e6),
@@ -138,7 +138,7 @@
             arrive("a", "first", cost=8.0),
             arrive("large", "second", cost=30.0, deadline_ms=8000.0),
             arrive("small", "first", cost=1.0, deadline_ms=9000.0),
-            Woken(5.0),
+            WakeUpDue(5.0),
             end("a", 10.0),
         ],
         ["a immediate", "large deadline_within_share"],
@@ -155,7 +155,7 @@
     "a_deadline_that_the_queue_ahead_exceeds_is_refused_at_arrival": (
         [
             HOLD,
-            ReleasePart(0.0, "hold", 1.0, 100.0),
+            ReleaseCalls(0.0, "hold", 1.0, 100.0),
             arrive("a", "first", cost=30.0, deadline_ms=500.0),
             arrive("b", "first", cost=30.0, deadline_ms=250.0),
             arrive("c", "first", cost=30.0, deadline_ms=550.0),
@@ -246,7 +246,7 @@
     """Fails when an account blames queries that were admitted before it came."""
     queue = AdmissionQueue(CLASSES, 10.0)
     events = [HOLD, arrive("a", "first"), arrive("b", "first")]
-    events += [end("hold"), arrive("late", "first"), end("a"), Woken(900.0)]
+    events += [end("hold"), arrive("late", "first"), end("a"), WakeUpDue(900.0)]
     events += [end("b", 900.0)]
     accounts = {}
     for event in events:
@@ -276,7 +276,7 @@
     if action == "limit":
         return LimitChanged(now_ms, 5.0 + value)
     if action != "arrive":
-        return Woken(now_ms)
+        return WakeUpDue(now_ms)
     kind = "lookup" if cost == 1.0 else "search"
     deadline_ms = now_ms + 200.0 + value
     return arrive(f"t{number}", caller_class.name, cost, deadline_ms, kind, now_ms)
@@ -308,7 +308,7 @@
         Rule.DEADLINE_WITHIN_SHARE: own.is_within_share
         and top == own.urgency
         and own_head <= min(heads, default=0.0),
-        Rule.RESERVED_ROOM: arrival.kind == "lookup",
+        Rule.RESERVED_CAPACITY: arrival.kind == "lookup",
     }
     return checks[account.rule]
 
@@ -347,4 +347,4 @@
     assert set(queue.waiting) == set(waiting)
     assert set(queue.running) == set(running)
     held = sum(ticket.cost for ticket in queue.running.values())
-    assert queue.room.running_cost == pytest.approx(held)
+    assert queue.capacity.running_cost == pytest.approx(held)
--- a/chestnuthall/core/model/_accounts.py
+++ b/chestnuthall/core/model/_accounts.py
@@ -11,7 +11,7 @@
     URGENCY_WITHIN_SHARE = "urgency_within_share"
     DEADLINE_WITHIN_SHARE = "deadline_within_share"
     LEAST_NORMALISED_SERVICE = "least_normalised_service"
-    RESERVED_ROOM = "reserved_room"
+    RESERVED_CAPACITY = "reserved_room"
     ONLY_CANDIDATE = "only_candidate"
     NOT_ADMITTED = "not_admitted"
 
--- a/chestnuthall/services/_admission.py
+++ b/chestnuthall/services/_admission.py
@@ -19,9 +19,9 @@
     Reconfigured,
     Refuse,
     Release,
-    ReleasePart,
+    ReleaseCalls,
+    WakeUpDue,
     Withdraw,
-    Woken,
 )
 from chestnuthall.core.model import (
     AdmissionAccount,
@@ -120,7 +120,7 @@
     @property
     def limit_cost(self) -> float:
         """Shard calls that may run at once on average."""
-        return self._queue.room.limit_cost
+        return self._queue.capacity.limit_cost
 
     @property
     def n_running(self) -> int:
@@ -162,7 +162,7 @@
 
     def adapt(self) -> None:
         """Adapt the limit to what was observed since the last call."""
-        self._handle(Woken(self._clock.now_ms()))
+        self._handle(WakeUpDue(self._clock.now_ms()))
         self._limit.adapt(self.utilisation_ratio)
         self._apply_limit()
 
@@ -201,7 +201,7 @@
             return
         self._limit.observe_answer(replica_name, elapsed_ms)
         now_ms = self._clock.now_ms()
-        self._handle(ReleasePart(now_ms, admitted.ticket, 1.0, elapsed_ms))
+        self._handle(ReleaseCalls(now_ms, admitted.ticket, 1.0, elapsed_ms))
 
     async def acquire(self, request: Request, cost: float) -> Admitted | NotAdmitted:
         """Wait until a request is admitted or refused."""
@@ -277,7 +277,7 @@
 
     def _on_timer(self) -> None:
         self._timer = None
-        self._handle(Woken(self._clock.now_ms()))
+        self._handle(WakeUpDue(self._clock.now_ms()))
 
     @singledispatchmethod
     def _perform(self, action: AdmissionAction) -> None:
--- a/chestnuthall/services/_fleet_use.py
+++ b/chestnuthall/services/_fleet_use.py
@@ -6,9 +6,9 @@
 
 from chestnuthall.core.admission import (
     DemandHistory,
-    UseLedger,
-    UseNews,
-    part_of_demand,
+    UsageLedger,
+    UsageReport,
+    demand_fraction,
 )
 from chestnuthall.ports import ClassUse, Clock, MemberUpdate, PeerDigest
 from chestnuthall.services._admission import Admissions
@@ -47,7 +47,7 @@
         self._clock = clock
         self._admissions = admissions
         self._read_members = read_members
-        self._ledger = UseLedger()
+        self._ledger = UsageLedger()
         # The start time tells a restarted instance from its predecessor.
         self._incarnation = int(clock.wall_ms())
         self._started_ms = clock.now_ms()
@@ -79,7 +79,7 @@
         ]
 
     def _relayed(self) -> list[ClassUse]:
-        return [ClassUse(**asdict(news)) for news in self._ledger.newest()]
+        return [ClassUse(**asdict(report)) for report in self._ledger.newest_reports()]
 
     def absorb(self, digest: PeerDigest) -> None:
         """Count the service that a peer reports and was not counted before."""
@@ -88,7 +88,7 @@
         for use in digest.uses:
             if use.instance == self._name:
                 continue
-            added_cost = self._ledger.take(UseNews(**asdict(use)), now_ms)
+            added_cost = self._ledger.record(UsageReport(**asdict(use)), now_ms)
             admission = admissions.get(use.group)
             if admission is not None and added_cost > 0.0:
                 admission.on_fleet_use(use.class_name, added_cost)
@@ -126,7 +126,7 @@
         history.add(self._incarnation + now_ms - self._started_ms, own_cost)
         since_ms = now_ms - FRESH_MS
         demand = self._ledger.demand_by_instance(group, since_ms, class_name)
-        return part_of_demand(history, demand.values(), n_instances)
+        return demand_fraction(history, demand.values(), n_instances)
 
     async def run(self) -> None:
         """Keep parts and limits up to date until cancelled."""
