--- a/benchmarks/_upstreams.py
+++ b/benchmarks/_upstreams.py
@@ -148,7 +148,7 @@
         self.n_calls = 0
 
     def set_connection_budget(
-        self, group: str, n_connections: int, kept_ratio: float = 1.0
+        self, group: str, n_connections: int, connected_ratio: float = 1.0
     ) -> None:
         """Set how many connections may be open to each replica of a group."""
         self._budgets[group] = n_connections
--- a/chestnuthall/adapters/upstreams/_caller.py
+++ b/chestnuthall/adapters/upstreams/_caller.py
@@ -47,8 +47,8 @@
     """Connections to each replica; see ``set_connection_budget``."""
 
     n_connections: int
-    kept_ratio: float
-    n_near: int | None = None
+    connected_ratio: float
+    n_connections_in_zone: int | None = None
 
 
 # Until the group of a replica, and with it the budget, is known.
@@ -86,17 +86,17 @@
         self,
         group: str,
         n_connections: int,
-        kept_ratio: float = 1.0,
-        n_near: int | None = None,
+        connected_ratio: float = 1.0,
+        n_connections_in_zone: int | None = None,
     ) -> None:
         """Set how many connections may be open to each replica of a group.
 
-        ``group`` may also be the id of a shard. ``kept_ratio`` is the part of the
+        ``group`` may also be the id of a shard. ``connected_ratio`` is the part of the
         replicas to which a connection stays open when it is idle, where there is
-        not even one for each instance. ``n_near`` is the number for replicas in the
-        own zone, if they have one of their own.
+        not even one for each instance. ``n_connections_in_zone`` is the number for
+        replicas in the own zone, if they have one of their own.
         """
-        budget = _Budget(n_connections, kept_ratio, n_near)
+        budget = _Budget(n_connections, connected_ratio, n_connections_in_zone)
         is_known = self._budgets.get(group) == budget
         if is_known and self._pool_settings.idle_close_ms is not None:
             # Connections that were closed for being idle are not opened again.
@@ -123,13 +123,20 @@
         """
         n_connections = budget.n_connections
         is_scarce = self._pool_settings.idle_close_ms is not None and n_connections < 2
-        if is_scarce and budget.n_near and address in self._near_addresses:
-            is_scarce, n_connections = False, budget.n_near
+        if (
+            is_scarce
+            and budget.n_connections_in_zone
+            and address in self._near_addresses
+        ):
+            is_scarce, n_connections = False, budget.n_connections_in_zone
         if not is_scarce:
             pool.n_idle_kept = n_connections
             pool.set_budget(n_connections)
             return
-        is_kept = not budget.n_near and _place(self._name, address) < budget.kept_ratio
+        is_kept = (
+            not budget.n_connections_in_zone
+            and _place(self._name, address) < budget.connected_ratio
+        )
         pool.n_idle_kept = 1 if is_kept else 0
         pool.set_budget(N_CONNECTIONS_SCARCE)
 
--- a/chestnuthall/adapters/upstreams/tests/test_connection_budgets.py
+++ b/chestnuthall/adapters/upstreams/tests/test_connection_budgets.py
@@ -35,8 +35,10 @@
     async def scenario():
         settings = PoolSettings(connect_timeout_ms=10.0, idle_close_ms=1_000.0)
         caller = HttpShardCaller(LoopClock(), SearchCodec(), settings, "i", "a")
-        n_connections, kept_ratio, n_near = budget
-        caller.set_connection_budget("s", n_connections, kept_ratio, n_near)
+        n_connections, connected_ratio, n_connections_in_zone = budget
+        caller.set_connection_budget(
+            "s", n_connections, connected_ratio, n_connections_in_zone
+        )
         for replica in (NEAR, FAR):
             caller.prepare(replica, "s")
         pools = [caller._pools[item.address] for item in (NEAR, FAR)]
--- a/chestnuthall/core/fanout/__init__.py
+++ b/chestnuthall/core/fanout/__init__.py
@@ -34,8 +34,8 @@
     FanOutContext,
 )
 from chestnuthall.core.fanout._targets import (
+    call_type_of,
     target_shards,
-    work_of,
 )
 
 __all__ = [
@@ -63,5 +63,5 @@
     "merge_partials",
     "sum_coverage",
     "target_shards",
-    "work_of",
+    "call_type_of",
 ]
--- a/chestnuthall/core/fanout/_handlers.py
+++ b/chestnuthall/core/fanout/_handlers.py
@@ -52,11 +52,11 @@
 @apply_event.register
 def _(event: Begin, state: FanOutState) -> list[Action]:
     # The probe of a suspected request is one call to one replica.
-    may_bundle = not state.is_suspected(event.now_ms)
-    state.plan(state.partition_map, may_bundle)
+    may_combine = not state.is_suspected(event.now_ms)
+    state.plan(state.partition_map, may_combine)
     context = state.context
     shard_ids = state.own_shard_ids()
-    context.budget.earn(shard_ids, context.utilisation_ratio, event.now_ms)
+    context.budget.record_calls(shard_ids, context.utilisation_ratio, event.now_ms)
     return _begin_plan(state, event.now_ms)
 
 
@@ -87,7 +87,7 @@
         running.started_ms,
         answer,
         event.now_ms,
-        work=state.work_of(progress),
+        call_type=state.call_type_of(progress),
     )
     elapsed_ms = event.now_ms - running.started_ms
     _take_answer(state, progress, answer, elapsed_ms)
@@ -184,7 +184,7 @@
     context = state.context
     # A peer that ends is no sign of a request that crashes replicas.
     is_lost = failure.kind is CONNECTION_LOST and not progress.shard.members
-    is_explained = is_lost and state.is_suspected(now_ms)
+    is_attributed_to_request = is_lost and state.is_suspected(now_ms)
     if is_lost:
         progress.has_lost = True
         context.quarantine.record_loss(
@@ -201,8 +201,8 @@
         running.call.snapshot_id,
         running.started_ms,
         now_ms,
-        is_explained=is_explained,
-        work=state.work_of(progress),
+        is_attributed_to_request=is_attributed_to_request,
+        call_type=state.call_type_of(progress),
     )
 
 
@@ -231,7 +231,7 @@
     may_overdraw = failure.kind is not SHED_BY_UPSTREAM
     budget = state.context.budget
     shard_id = progress.shard.shard_id
-    if not is_free and not budget.try_take_retry(shard_id, now_ms, may_overdraw):
+    if not is_free and not budget.try_acquire_retry(shard_id, now_ms, may_overdraw):
         state.give_up(progress, "budget", now_ms)
         return []
     state.n_retries += 1
@@ -247,7 +247,7 @@
     router = state.context.router
     snapshot_id = state.partition_map.snapshot_id
     return any(
-        router.holds(replica, snapshot_id, now_ms)
+        router.serves_snapshot(replica, snapshot_id, now_ms)
         for replica in progress.shard.replicas
         if replica.name not in progress.tried_names
     )
@@ -295,7 +295,10 @@
     n_reachable = sum(
         shard.n_documents
         for shard in shards
-        if any(router.holds(r, another.snapshot_id, now_ms) for r in shard.replicas)
+        if any(
+            router.serves_snapshot(r, another.snapshot_id, now_ms)
+            for r in shard.replicas
+        )
     )
     return n_reachable > ratio * n_total
 
--- a/chestnuthall/core/fanout/_hedges.py
+++ b/chestnuthall/core/fanout/_hedges.py
@@ -44,12 +44,12 @@
 def timing_of(state: FanOutState) -> HedgeTiming:
     """Return the timing for the calls of a query, from what the router learnt."""
     router = state.context.router
-    work = state.context.work
-    delay_ms = router.hedge_delay_ms(work)
+    call_type = state.context.call_type
+    delay_ms = router.hedge_delay_ms(call_type)
     soft_ms = state.context.caller_class.soft_deadline_ms
-    if soft_ms is None or not work:
+    if soft_ms is None or not call_type:
         return HedgeTiming(delay_ms, 0.0, float("inf"))
-    usual_ms = USUAL_FACTOR * router.typical_ms(work)
+    usual_ms = USUAL_FACTOR * router.typical_ms(call_type)
     latest_ms = state.request.arrived_ms + soft_ms - usual_ms
     return HedgeTiming(delay_ms, usual_ms, latest_ms)
 
@@ -107,16 +107,16 @@
         progress.tried_names,
         now_ms,
         needs_free_slot=True,
-        work=state.context.work,
+        call_type=state.context.call_type,
     )
     age_ms = now_ms - oldest.started_ms
     shard_id = progress.shard.shard_id
     if replica is None:
         _note_withheld(state, progress, "no replica with a free slot", age_ms, now_ms)
         return []
-    delay_ms = state.context.router.hedge_delay_ms(state.context.work)
+    delay_ms = state.context.router.hedge_delay_ms(state.context.call_type)
     lateness_ratio = age_ms / delay_ms
-    if not state.context.budget.try_take_hedge(shard_id, now_ms, lateness_ratio):
+    if not state.context.budget.try_acquire_hedge(shard_id, now_ms, lateness_ratio):
         _note_withheld(state, progress, "budget", age_ms, now_ms)
         return []
     progress.is_hedged = True
--- a/chestnuthall/core/fanout/_probes.py
+++ b/chestnuthall/core/fanout/_probes.py
@@ -84,16 +84,16 @@
     snapshot_id = state.partition_map.snapshot_id
     excluded = progress.tried_names
     shard = open_shard(state.request, progress)
-    work = state.context.work
+    call_type = state.context.call_type
     return router.choose(
-        shard, snapshot_id, excluded | doubtful, now_ms, work=work
-    ) or router.choose(shard, snapshot_id, excluded, now_ms, work=work)
+        shard, snapshot_id, excluded | doubtful, now_ms, call_type=call_type
+    ) or router.choose(shard, snapshot_id, excluded, now_ms, call_type=call_type)
 
 
 def _take_credit(state: FanOutState, progress: ShardProgress, now_ms: float) -> bool:
     if progress.n_attempts == 0:
         return True
-    if not state.context.budget.try_take_retry(
+    if not state.context.budget.try_acquire_retry(
         progress.shard.shard_id, now_ms, may_overdraw=True
     ):
         return False
--- a/chestnuthall/core/fanout/_state.py
+++ b/chestnuthall/core/fanout/_state.py
@@ -73,9 +73,9 @@
     caller_class: CallerClass
     utilisation_ratio: float = 0.0
     # Names the kind of call for the router's latencies; see ``Router``.
-    work: str = ""
+    call_type: str = ""
     # Joins shards into sets that peers answer for; None where there are no sets.
-    bundle: Callable[[Sequence[Shard]], tuple[Shard, ...]] | None = None
+    combine_shards: Callable[[Sequence[Shard]], tuple[Shard, ...]] | None = None
 
 
 class FanOutState:
@@ -121,12 +121,12 @@
             DecisionEvent.SHARD_GIVEN_UP, now_ms, shard_id, progress.n_attempts, why
         )
 
-    def plan(self, partition_map: PartitionMap, may_bundle: bool = False) -> None:
+    def plan(self, partition_map: PartitionMap, may_combine: bool = False) -> None:
         """Pin a map and forget everything that was merged from another one."""
         self.partition_map = partition_map
         shards = target_shards(self.request, partition_map)
-        if may_bundle and self.context.bundle is not None:
-            shards = self.context.bundle(shards)
+        if may_combine and self.context.combine_shards is not None:
+            shards = self.context.combine_shards(shards)
         self.shards = {shard.shard_id: ShardProgress(shard) for shard in shards}
         self._unsettled = list(self.shards.values())
 
@@ -138,10 +138,10 @@
             if not progress.shard.members
         ]
 
-    def work_of(self, progress: ShardProgress) -> str:
+    def call_type_of(self, progress: ShardProgress) -> str:
         """Return the kind of call that a shard needs; a set takes longer."""
-        work = self.context.work
-        return f"{work} set" if progress.shard.members else work
+        call_type = self.context.call_type
+        return f"{call_type} set" if progress.shard.members else call_type
 
     @property
     def is_settled(self) -> bool:
@@ -194,7 +194,7 @@
         self._unsettled += members
         context = self.context
         member_ids = [item.shard.shard_id for item in members]
-        context.budget.earn(member_ids, context.utilisation_ratio, now_ms)
+        context.budget.record_calls(member_ids, context.utilisation_ratio, now_ms)
         actions: list[Action] = []
         for item in members:
             actions += self.try_dispatch(item, now_ms)
@@ -206,7 +206,7 @@
             self.partition_map.snapshot_id,
             progress.tried_names,
             now_ms,
-            work=self.work_of(progress),
+            call_type=self.call_type_of(progress),
         )
 
     def _shard_set(self, shard: Shard) -> ShardSet | None:
@@ -245,7 +245,7 @@
         self._shard_of_call[call.call_id] = call.shard_id
         self.n_calls += 1
         self._note_sent(call, progress, reason, now_ms)
-        self.context.router.on_started(replica, now_ms, self.work_of(progress))
+        self.context.router.on_started(replica, now_ms, self.call_type_of(progress))
         return Dispatch(call)
 
     def _note_sent(
@@ -287,7 +287,7 @@
                 running.call.snapshot_id,
                 running.started_ms,
                 now_ms,
-                work=self.work_of(progress),
+                call_type=self.call_type_of(progress),
             )
             self.note(
                 DecisionEvent.CALL_CANCELLED,
--- a/chestnuthall/core/fanout/_targets.py
+++ b/chestnuthall/core/fanout/_targets.py
@@ -51,12 +51,12 @@
 
 
 @singledispatch
-def work_of(request: Request) -> str:
+def call_type_of(request: Request) -> str:
     """Return the name of the kind of call that the router tells apart."""
     return ""
 
 
-@work_of.register
+@call_type_of.register
 def _(request: RelayedRequest) -> str:
     return request.class_name
 
--- a/chestnuthall/core/fanout/tests/test_relayed.py
+++ b/chestnuthall/core/fanout/tests/test_relayed.py
@@ -35,10 +35,10 @@
     RunState,
 )
 from chestnuthall.core.routing import (
-    RepeatBudget,
-    RepeatLimits,
     Router,
     RouterSettings,
+    ServiceExtraLoadBudget,
+    ServiceExtraLoadLimits,
 )
 
 DEADLINE_MS = 800.0
@@ -74,7 +74,9 @@
         )
         for i in range(n_shards)
     )
-    budget = RepeatBudget(RepeatLimits(ratio=1.0, window_ms=10_000.0, n_floor=100.0))
+    budget = ServiceExtraLoadBudget(
+        ServiceExtraLoadLimits(ratio=1.0, window_ms=10_000.0, n_floor=100.0)
+    )
     budget.set_n_instances(1)
     context = FanOutContext(
         router=Router(RouterSettings(hedge_delay_unknown_ms=60.0), Random(1)),
@@ -88,7 +90,7 @@
             deadline_ms=DEADLINE_MS,
             soft_deadline_ms=SOFT_DEADLINE_MS,
         ),
-        work="c",
+        call_type="c",
     )
     return FanOut(request, PartitionMap("g", 7, shards), context)
 
--- a/chestnuthall/core/fanout/tests/test_shard_sets.py
+++ b/chestnuthall/core/fanout/tests/test_shard_sets.py
@@ -28,7 +28,7 @@
 PEERS = tuple(Replica(f"p{i}", f"peer.{i}", "other") for i in range(3))
 
 
-def bundle(shards):
+def combine_shards(shards):
     members = tuple(shards[:N_MEMBERS])
     joined = Shard("set", KeyRange("", ""), N_MEMBERS, PEERS, members)
     return (joined, *shards[N_MEMBERS:])
@@ -36,7 +36,7 @@
 
 def make_with_set():
     whole = make(n_shards=N_SHARDS)
-    context = replace(whole.context, bundle=bundle)
+    context = replace(whole.context, combine_shards=combine_shards)
     return FanOut(whole.request, whole.partition_map, context)
 
 
@@ -139,13 +139,13 @@
     def __init__(self):
         self.earned = []
 
-    def earn(self, shard_ids, utilisation_ratio, now_ms):
+    def record_calls(self, shard_ids, utilisation_ratio, now_ms):
         self.earned += shard_ids
 
-    def try_take_retry(self, shard_id, now_ms, may_overdraw=False):
+    def try_acquire_retry(self, shard_id, now_ms, may_overdraw=False):
         return True
 
-    def try_take_hedge(self, shard_id, now_ms, lateness_ratio):
+    def try_acquire_hedge(self, shard_id, now_ms, lateness_ratio):
         return False
 
 
@@ -172,7 +172,7 @@
     assert all(item.shard_set is None for item in hedges)
 
 
-def test_suspected_request_is_not_bundled():
+def test_suspected_request_is_not_combined():
     fan_out = make_with_set()
     replica = fan_out.partition_map.shards[0].replicas[0]
     fan_out.context.quarantine.record_loss("f", replica, "s0", 0.0, 0.0)
--- a/chestnuthall/core/fanout/tests/test_stragglers.py
+++ b/chestnuthall/core/fanout/tests/test_stragglers.py
@@ -118,7 +118,9 @@
     another = make_map(3, 1, snapshot_id=2)
     if not is_loaded:
         for shard in another.shards:
-            fan_out.context.router.state_of(shard.replicas[0].name).note_missing(2, 2.0)
+            fan_out.context.router.state_of(
+                shard.replicas[0].name
+            ).record_missing_snapshot(2, 2.0)
     actions = fan_out.handle(MapReplaced(now_ms, another))
     assert len(calls_of(actions)) == n_replanned
     completion = completion_of(actions)
--- a/chestnuthall/core/routing/__init__.py
+++ b/chestnuthall/core/routing/__init__.py
@@ -13,18 +13,14 @@
 )
 from chestnuthall.core.routing._connections import (
     N_INSTANCES_ASSUMED,
-    ConnectionShare,
+    ConnectionBudget,
 )
 from chestnuthall.core.routing._delegation import (
-    bundle_far_shards,
+    combine_remote_shards,
 )
 from chestnuthall.core.routing._latency import (
     LatencyWindow,
 )
-from chestnuthall.core.routing._repeats import (
-    RepeatBudget,
-    RepeatLimits,
-)
 from chestnuthall.core.routing._replicas import (
     ReplicaState,
 )
@@ -32,24 +28,28 @@
     Router,
     RouterSettings,
 )
+from chestnuthall.core.routing._service_budget import (
+    ServiceExtraLoadBudget,
+    ServiceExtraLoadLimits,
+)
 from chestnuthall.core.routing._utilisation import (
     UtilisationAverage,
 )
 
 __all__ = [
     "N_INSTANCES_ASSUMED",
-    "ConnectionShare",
+    "ConnectionBudget",
     "ExtraLoad",
     "ExtraLoadBudget",
     "HashRing",
     "LatencyWindow",
-    "RepeatBudget",
-    "RepeatLimits",
+    "ServiceExtraLoadBudget",
+    "ServiceExtraLoadLimits",
     "ReplicaState",
     "Router",
     "RouterSettings",
     "SnapshotCatalog",
     "UtilisationAverage",
     "assign_shards",
-    "bundle_far_shards",
+    "combine_remote_shards",
 ]
--- a/chestnuthall/core/routing/_budget.py
+++ b/chestnuthall/core/routing/_budget.py
@@ -22,19 +22,19 @@
 class ExtraLoad(Protocol):
     """Decides whether a call beyond the first one of a shard may be made."""
 
-    def earn(
+    def record_calls(
         self, shard_ids: Collection[str], utilisation_ratio: float, now_ms: float
     ) -> None:
         """Note the first calls of a query, made at a utilisation."""
         ...
 
-    def try_take_retry(
+    def try_acquire_retry(
         self, shard_id: str, now_ms: float, may_overdraw: bool = False
     ) -> bool:
         """Take the credit of one retry; return whether there was enough."""
         ...
 
-    def try_take_hedge(
+    def try_acquire_hedge(
         self, shard_id: str, now_ms: float, lateness_ratio: float
     ) -> bool:
         """Take the credit of one hedge; return whether there was enough."""
@@ -68,7 +68,7 @@
         headroom = (policy.none_above_ratio - utilisation_ratio) / span
         return policy.max_ratio * min(1.0, max(0.0, headroom))
 
-    def earn(
+    def record_calls(
         self, shard_ids: Collection[str], utilisation_ratio: float, now_ms: float
     ) -> None:
         """Add the credit for ordinary calls made at a utilisation."""
@@ -76,7 +76,7 @@
         earned = len(shard_ids) * self.allowed_ratio(utilisation_ratio)
         self._credit = min(N_CALLS_SAVED_MAX, self._credit + earned)
 
-    def try_take_retry(
+    def try_acquire_retry(
         self, shard_id: str, now_ms: float, may_overdraw: bool = False
     ) -> bool:
         """Take the credit of one retry; return whether there was enough.
@@ -90,7 +90,7 @@
         self._credit -= 1.0
         return True
 
-    def try_take_hedge(
+    def try_acquire_hedge(
         self, shard_id: str, now_ms: float, lateness_ratio: float
     ) -> bool:
         """Take the credit of one hedge; return whether there was enough.
--- a/chestnuthall/core/routing/_connections.py
+++ b/chestnuthall/core/routing/_connections.py
@@ -17,7 +17,7 @@
 N_INSTANCES_ASSUMED = 12
 
 
-class ConnectionShare:
+class ConnectionBudget:
     """Number of instances that the connections are divided over.
 
     It rises at once and falls only after the lower number has been seen for
@@ -25,10 +25,10 @@
 
     Examples
     --------
-    >>> share = ConnectionShare(0.0)
-    >>> share.observe(9, 0.0), share.budget(30)
+    >>> budget = ConnectionBudget(0.0)
+    >>> budget.observe(9, 0.0), budget.n_connections(30)
     (12, 2)
-    >>> share.observe(9, 10_001.0), share.budget(30)
+    >>> budget.observe(9, 10_001.0), budget.n_connections(30)
     (9, 3)
     """
 
@@ -49,35 +49,37 @@
         self.n_instances = max(n for _, n in self._seen)
         return self.n_instances
 
-    def kept_ratio(self, n_connections_max: int) -> float:
+    def connected_ratio(self, n_connections_max: int) -> float:
         """Return the part of the instances that may keep a connection open.
 
         Examples
         --------
-        >>> share = ConnectionShare(0.0, 80)
-        >>> share.kept_ratio(40), share.kept_ratio(400)
+        >>> budget = ConnectionBudget(0.0, 80)
+        >>> budget.connected_ratio(40), budget.connected_ratio(400)
         (0.4, 1.0)
         """
         return min(1.0, KEPT_RATIO_MAX * n_connections_max / self.n_instances)
 
-    def budget(self, n_connections_max: int) -> int:
+    def n_connections(self, n_connections_max: int) -> int:
         """Return this instance's part of an upstream's cap; at least one."""
         return max(1, n_connections_max // (self.n_instances + N_INSTANCES_SPARE))
 
-    def near_budget(self, n_connections_max: int, n_near: int) -> int | None:
-        """Return the part for an upstream in this zone, which ``n_near`` share.
+    def n_connections_in_zone(
+        self, n_connections_max: int, n_instances_in_zone: int
+    ) -> int | None:
+        """Return the part for an upstream that the instances of this zone share.
 
         None where the equal part is enough, or where even those in its zone have
         less than one each.
 
         Examples
         --------
-        >>> share = ConnectionShare(0.0, 65)
-        >>> share.near_budget(64, 16), share.near_budget(400, 16)
+        >>> budget = ConnectionBudget(0.0, 65)
+        >>> budget.n_connections_in_zone(64, 16), budget.n_connections_in_zone(400, 16)
         (2, None)
         """
-        if self.budget(n_connections_max) >= N_CONNECTIONS_ENOUGH:
+        if self.n_connections(n_connections_max) >= N_CONNECTIONS_ENOUGH:
             return None
         cap = int(NEAR_RATIO * n_connections_max)
-        n_each = cap // (n_near + N_INSTANCES_SPARE)
+        n_each = cap // (n_instances_in_zone + N_INSTANCES_SPARE)
         return min(n_each, N_CONNECTIONS_ENOUGH) or None
--- a/chestnuthall/core/routing/_delegation.py
+++ b/chestnuthall/core/routing/_delegation.py
@@ -13,7 +13,7 @@
 PeersIn = Callable[[frozenset[str]], tuple[Replica, ...]]
 
 
-def bundle_far_shards(
+def combine_remote_shards(
     shards: Sequence[Shard], own_zone: str, peers_in: PeersIn
 ) -> tuple[Shard, ...]:
     """Join the shards without a replica in ``own_zone`` into one set for a peer.
@@ -27,7 +27,7 @@
     >>> replicas = (Replica("r", "10.0.0.1:80", "a"),)
     >>> shards = [Shard(f"s{n}", KeyRange("", ""), 1, replicas) for n in range(3)]
     >>> peers = (Replica("p", "10.0.0.2:80", "a"),)
-    >>> [one.shard_id for one in bundle_far_shards(shards, "b", lambda _: peers)]
+    >>> [one.shard_id for one in combine_remote_shards(shards, "b", lambda _: peers)]
     ['s0+2']
     """
     far = [
--- a/chestnuthall/core/routing/_replicas.py
+++ b/chestnuthall/core/routing/_replicas.py
@@ -40,7 +40,7 @@
     held_stated_ms: float = float("-inf")
     missing_snapshots: dict[int, float] = field(default_factory=dict)
     drained_until_ms: float = float("-inf")
-    avoided_until_ms: float = float("-inf")
+    ejected_until_ms: float = float("-inf")
     ramp_from_ms: float = float("-inf")
     n_failures_in_row: int = 0
 
@@ -98,7 +98,7 @@
         for snapshot_id in snapshot_ids:
             self.missing_snapshots.pop(snapshot_id, None)
 
-    def note_missing(self, snapshot_id: int, now_ms: float) -> None:
+    def record_missing_snapshot(self, snapshot_id: int, now_ms: float) -> None:
         """Note that the replica refused a snapshot.
 
         What it stated earlier is out of date then, so it may hold a newer one.
@@ -110,6 +110,6 @@
         """Return whether the replica takes no new calls."""
         return now_ms < self.drained_until_ms
 
-    def is_avoided(self, now_ms: float) -> bool:
+    def is_ejected(self, now_ms: float) -> bool:
         """Return whether the replica failed lately and is called last."""
-        return now_ms < self.avoided_until_ms
+        return now_ms < self.ejected_until_ms
--- a/chestnuthall/core/routing/_router.py
+++ b/chestnuthall/core/routing/_router.py
@@ -25,7 +25,7 @@
 N_SAMPLES_FOR_QUANTILE = 20
 # Kinds of work with latencies of their own; the oldest goes first, since
 # configurations replace them.
-N_WORKS_KEPT = 64
+N_CALL_TYPES_KEPT = 64
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -43,10 +43,10 @@
     slow_ratio: float = 2.0
     hedge_delay_min_ms: float = 2.0
     hedge_delay_unknown_ms: float = 50.0
-    avoid_base_ms: float = 200.0
+    ejection_base_ms: float = 200.0
     # A lost replica that is asked again costs a refused connection, and a
     # returned one is needed at once, so the longest pause is short.
-    avoid_max_ms: float = 2_000.0
+    ejection_max_ms: float = 2_000.0
     failure_cost_ms: float = 50.0
     ejected_ratio_max: float = 1.0 / 3.0
     ramp_ms: float = 2_000.0
@@ -57,7 +57,7 @@
 class Router:
     """Replica statistics of one group, and the choice made from them.
 
-    Calls whose usual times differ are told apart by a name for their ``work``.
+    Calls whose usual times differ are told apart by a name for their ``call_type``.
     Each has latencies of its own, and a replica's latency is kept as a multiple
     of the usual one, so that a slow replica found by one kind of call is known
     to the others. Work without a name is the reference.
@@ -70,27 +70,27 @@
         self._latencies: dict[str, LatencyWindow] = {}
         self.n_in_flight = 0
 
-    def _window(self, work: str) -> LatencyWindow:
-        window = self._latencies.get(work)
+    def _window(self, call_type: str) -> LatencyWindow:
+        window = self._latencies.get(call_type)
         if window is None:
-            while len(self._latencies) >= N_WORKS_KEPT:
+            while len(self._latencies) >= N_CALL_TYPES_KEPT:
                 del self._latencies[next(iter(self._latencies))]
-            window = self._latencies[work] = LatencyWindow()
+            window = self._latencies[call_type] = LatencyWindow()
         return window
 
-    def _scale(self, work: str) -> float:
+    def _scale(self, call_type: str) -> float:
         """Return the usual time of a kind of call over that of the reference."""
-        if not work:
+        if not call_type:
             return 1.0
-        return self.typical_ms(work) / self._settings.unknown_latency_ms
+        return self.typical_ms(call_type) / self._settings.unknown_latency_ms
 
-    def forget(self, replica_name: str) -> None:
+    def remove(self, replica_name: str) -> None:
         """Drop what is known of a replica that is gone or has started anew."""
         state = self._replicas.pop(replica_name, None)
         if state is not None:
             self.n_in_flight -= state.n_in_flight
 
-    def begin_warm_up(self, replica_name: str, now_ms: float) -> None:
+    def start_ramp_up(self, replica_name: str, now_ms: float) -> None:
         """Give a replica that has just started less than its part at first."""
         self.state_of(replica_name).ramp_from_ms = now_ms
 
@@ -101,7 +101,9 @@
             state = self._replicas[replica_name] = ReplicaState(replica_name)
         return state
 
-    def holds(self, replica: Replica, snapshot_id: int, now_ms: float) -> bool:
+    def serves_snapshot(
+        self, replica: Replica, snapshot_id: int, now_ms: float
+    ) -> bool:
         """Return whether a replica is known to serve a snapshot."""
         state = self.state_of(replica.name)
         return state.holds(snapshot_id) and not state.is_draining(now_ms)
@@ -118,7 +120,7 @@
         excluded_names: Collection[str],
         now_ms: float,
         needs_free_slot: bool = False,
-        work: str = "",
+        call_type: str = "",
     ) -> Replica | None:
         """Return the replica with the least expected time of a few, or None.
 
@@ -139,7 +141,7 @@
         n_candidates = self._settings.n_candidates
         if len(usable) > n_candidates:
             usable = self._random.sample(usable, n_candidates)
-        scale = self._scale(work)
+        scale = self._scale(call_type)
         usual_ms = self._reference_ms()
         return min(
             usable, key=lambda item: self._expected_ms(item, now_ms, scale, usual_ms)
@@ -151,16 +153,16 @@
         A limited part of a shard is ejected, those that failed most first, so
         that misleading failures do not put all of its load on one replica.
         """
-        avoided = [
+        ejected = [
             self.state_of(replica.name)
             for replica in shard.replicas
-            if self.state_of(replica.name).is_avoided(now_ms)
+            if self.state_of(replica.name).is_ejected(now_ms)
         ]
-        if not avoided:
+        if not ejected:
             return frozenset()
         n_max = int(len(shard.replicas) * self._settings.ejected_ratio_max + 1e-9)
-        avoided.sort(key=lambda state: -state.n_failures_in_row)
-        return frozenset(state.name for state in avoided[:n_max])
+        ejected.sort(key=lambda state: -state.n_failures_in_row)
+        return frozenset(state.name for state in ejected[:n_max])
 
     def _expected_ms(
         self, replica: Replica, now_ms: float, scale: float, usual_ms: float
@@ -174,7 +176,7 @@
         if replica.zone != settings.zone:
             zone_ms = settings.other_zone_cost_ms
             latency_ms *= settings.other_zone_factor
-        if state.is_avoided(now_ms):
+        if state.is_ejected(now_ms):
             zone_ms += settings.failure_cost_ms * state.n_failures_in_row
         # A small random part spreads instances that know the same figures.
         spread = self._random.uniform(0.9, 1.1)
@@ -186,9 +188,9 @@
             return self.typical_ms("")
         return self._settings.unknown_latency_ms
 
-    def typical_ms(self, work: str) -> float:
+    def typical_ms(self, call_type: str) -> float:
         """Return the usual time of a kind of call."""
-        typical_ms = self._window(work).quantile_ms(0.5)
+        typical_ms = self._window(call_type).quantile_ms(0.5)
         return self._settings.unknown_latency_ms if typical_ms is None else typical_ms
 
     def _ramp(self, state: ReplicaState, now_ms: float) -> float:
@@ -202,19 +204,19 @@
         n_slots = replica.n_slots or self._settings.n_slots
         return self.state_of(replica.name).n_in_flight < n_slots
 
-    def hedge_delay_ms(self, work: str = "") -> float:
+    def hedge_delay_ms(self, call_type: str = "") -> float:
         """Return how long a call may run before a second one is considered."""
         settings = self._settings
-        window = self._window(work)
+        window = self._window(call_type)
         delay_ms = window.quantile_ms(settings.hedge_quantile)
         if delay_ms is None or len(window) < N_SAMPLES_FOR_QUANTILE:
             return settings.hedge_delay_unknown_ms
         return max(settings.hedge_delay_min_ms, delay_ms)
 
-    def on_started(self, replica: Replica, now_ms: float, work: str = "") -> None:
+    def on_started(self, replica: Replica, now_ms: float, call_type: str = "") -> None:
         """Note a call that was dispatched to a replica."""
         state = self.state_of(replica.name)
-        state.in_flight.append(InFlight(now_ms, self._scale(work)))
+        state.in_flight.append(InFlight(now_ms, self._scale(call_type)))
         self.n_in_flight += 1
 
     def _end(self, replica: Replica, started_ms: float) -> tuple[ReplicaState, float]:
@@ -234,16 +236,16 @@
         started_ms: float,
         answer: ShardAnswer,
         now_ms: float,
-        work: str = "",
+        call_type: str = "",
     ) -> None:
         """Note a whole answer of a replica."""
         state, scale = self._end(replica, started_ms)
         if state.n_failures_in_row >= N_FAILURES_OF_RESTART:
             state.ramp_from_ms = now_ms
         state.n_failures_in_row = 0
-        state.avoided_until_ms = float("-inf")
+        state.ejected_until_ms = float("-inf")
         if not self._is_slow(state):
-            self._window(work).add(now_ms - started_ms)
+            self._window(call_type).add(now_ms - started_ms)
         state.observe_latency((now_ms - started_ms) / scale, now_ms)
         if answer.held_snapshots:
             state.note_held(answer.held_snapshots, now_ms)
@@ -257,44 +259,44 @@
         snapshot_id: int,
         started_ms: float,
         now_ms: float,
-        is_explained: bool = False,
-        work: str = "",
+        is_attributed_to_request: bool = False,
+        call_type: str = "",
     ) -> None:
         """Note a failed or cancelled call.
 
-        ``is_explained`` marks a loss that a suspected request accounts for; it
-        is no evidence against the replica.
+        ``is_attributed_to_request`` marks a loss that a suspected request accounts for;
+        it is no evidence against the replica.
         """
         state, scale = self._end(replica, started_ms)
         if failure.kind is CALL_CANCELLED:
-            self._on_cancelled(state, now_ms - started_ms, now_ms, work, scale)
+            self._on_cancelled(state, now_ms - started_ms, now_ms, call_type, scale)
             return
         if failure.kind is REPLICA_REPLACED:
             # The registration is out of date; the next one makes it forgotten.
             state.drained_until_ms = float("inf")
             return
         if failure.kind is SNAPSHOT_GONE:
-            state.note_missing(snapshot_id, now_ms)
+            state.record_missing_snapshot(snapshot_id, now_ms)
             return
-        if is_explained or failure.kind is DEADLINE_PASSED:
+        if is_attributed_to_request or failure.kind is DEADLINE_PASSED:
             return
         state.n_failures_in_row += 1
-        state.avoided_until_ms = now_ms + self._avoid_ms(state, failure)
+        state.ejected_until_ms = now_ms + self._ejection_ms(state, failure)
 
     def _on_cancelled(
         self,
         state: ReplicaState,
         elapsed_ms: float,
         now_ms: float,
-        work: str,
+        call_type: str,
         scale: float,
     ) -> None:
-        if elapsed_ms < self.hedge_delay_ms(work):
+        if elapsed_ms < self.hedge_delay_ms(call_type):
             return
         # The call was slow and would have taken longer still. Without its sample
         # the quantile would forget the calls that were hedged.
         if not self._is_slow(state):
-            self._window(work).add(elapsed_ms)
+            self._window(call_type).add(elapsed_ms)
         state.raise_latency(CANCELLED_FACTOR * elapsed_ms / scale, now_ms)
 
     def _is_slow(self, state: ReplicaState) -> bool:
@@ -307,18 +309,18 @@
             return False
         return state.latency_ms > self._settings.slow_ratio * self._reference_ms()
 
-    def _avoid_ms(self, state: ReplicaState, failure: Failure) -> float:
+    def _ejection_ms(self, state: ReplicaState, failure: Failure) -> float:
         settings = self._settings
         if failure.kind is SHED_BY_UPSTREAM:
-            return settings.avoid_base_ms / 4
+            return settings.ejection_base_ms / 4
         exponent = min(state.n_failures_in_row - 1, 10)
-        return min(settings.avoid_max_ms, settings.avoid_base_ms * 2.0**exponent)
+        return min(settings.ejection_max_ms, settings.ejection_base_ms * 2.0**exponent)
 
     def drain(self, replica_name: str, now_ms: float) -> None:
         """Send no new calls to a replica until its notice runs out."""
         until_ms = now_ms + self._settings.drain_notice_ms
         self.state_of(replica_name).drained_until_ms = until_ms
 
-    def drain_until(self, replica_name: str, until_ms: float) -> None:
+    def set_drained_until(self, replica_name: str, until_ms: float) -> None:
         """Send no new calls to a replica until a time; a past one ends a drain."""
         self.state_of(replica_name).drained_until_ms = until_ms
--- a/chestnuthall/core/routing/_repeats.py
+++ b/chestnuthall/core/routing/_service_budget.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class RepeatLimits:
+class ServiceExtraLoadLimits:
     """Allowance of the whole fleet for each service.
 
     In any window of ``window_ms`` a service may get repeats for ``ratio`` of its
@@ -38,7 +38,7 @@
                 times.popleft()
 
 
-class RepeatBudget:
+class ServiceExtraLoadBudget:
     """This instance's part of the allowance for repeats of each service.
 
     Each instance spends at most the ratio of its own requests and an equal part
@@ -47,15 +47,15 @@
 
     Examples
     --------
-    >>> limits = RepeatLimits(ratio=0.2, window_ms=10_000.0, n_floor=0.0)
-    >>> budget = RepeatBudget(limits)
+    >>> limits = ServiceExtraLoadLimits(ratio=0.2, window_ms=10_000.0, n_floor=0.0)
+    >>> budget = ServiceExtraLoadBudget(limits)
     >>> for now_ms in range(10):
-    ...     budget.earn(["a"], 0.0, float(now_ms))
-    >>> [budget.try_take_retry("a", 20.0) for _ in range(3)]
+    ...     budget.record_calls(["a"], 0.0, float(now_ms))
+    >>> [budget.try_acquire_retry("a", 20.0) for _ in range(3)]
     [True, False, False]
     """
 
-    def __init__(self, limits: RepeatLimits) -> None:
+    def __init__(self, limits: ServiceExtraLoadLimits) -> None:
         self._limits = limits
         self._windows: dict[str, _Window] = {}
         self._n_instances: int | None = None
@@ -67,26 +67,26 @@
         """
         self._n_instances = n_instances
 
-    def earn(
+    def record_calls(
         self, shard_ids: Collection[str], utilisation_ratio: float, now_ms: float
     ) -> None:
         """Note the first calls of a query, one at each shard."""
         for shard_id in shard_ids:
             self._window(shard_id, now_ms).requested_ms.append(now_ms)
 
-    def try_take_retry(
+    def try_acquire_retry(
         self, shard_id: str, now_ms: float, may_overdraw: bool = False
     ) -> bool:
         """Count one retry if the allowance has room for it."""
-        return self._try_take(shard_id, now_ms, 1.0)
+        return self._try_acquire(shard_id, now_ms, 1.0)
 
-    def try_take_hedge(
+    def try_acquire_hedge(
         self, shard_id: str, now_ms: float, lateness_ratio: float
     ) -> bool:
         """Count one hedge if the allowance has room for it beside retries."""
-        return self._try_take(shard_id, now_ms, HEDGE_RATIO)
+        return self._try_acquire(shard_id, now_ms, HEDGE_RATIO)
 
-    def _try_take(self, shard_id: str, now_ms: float, part_ratio: float) -> bool:
+    def _try_acquire(self, shard_id: str, now_ms: float, part_ratio: float) -> bool:
         window = self._window(shard_id, now_ms)
         allowed = USED_RATIO * part_ratio * self._allowance(window)
         if len(window.repeated_ms) + 1 > allowed:
--- a/chestnuthall/core/routing/tests/test_delegation.py
+++ b/chestnuthall/core/routing/tests/test_delegation.py
@@ -3,7 +3,7 @@
 import pytest
 
 from chestnuthall.core.model import KeyRange, Replica, Shard
-from chestnuthall.core.routing import bundle_far_shards
+from chestnuthall.core.routing import combine_remote_shards
 
 
 def make_shards(*zones_of_shards):
@@ -36,7 +36,7 @@
     [case[1:] for case in CASES],
     ids=[case[0] for case in CASES],
 )
-def test_bundle_far_shards(zones, members, peer_zones):
+def test_combine_remote_shards(zones, members, peer_zones):
     """A set that no zone is nearer to would pay for a way that it does not save."""
     asked = []
 
@@ -45,9 +45,9 @@
         return (Replica("p", "10.0.0.2:80", min(found)),) if found else ()
 
     shards = make_shards(*zones)
-    bundled = bundle_far_shards(shards, "x", peers_in)
-    sets = [shard for shard in bundled if shard.members]
-    single = [shard for shard in bundled if not shard.members]
+    combined = combine_remote_shards(shards, "x", peers_in)
+    sets = [shard for shard in combined if shard.members]
+    single = [shard for shard in combined if not shard.members]
     assert [m.shard_id for s in sets for m in s.members] == [f"s{i}" for i in members]
     assert len(single) + len(members) == len(shards)
     if members:
@@ -57,4 +57,4 @@
 
 def test_shards_stay_where_no_peer_is_known():
     shards = make_shards("a", "a", "a")
-    assert bundle_far_shards(shards, "x", lambda zones: ()) == tuple(shards)
+    assert combine_remote_shards(shards, "x", lambda zones: ()) == tuple(shards)
--- a/chestnuthall/core/routing/tests/test_routing.py
+++ b/chestnuthall/core/routing/tests/test_routing.py
@@ -19,7 +19,7 @@
     SNAPSHOT_GONE,
 )
 from chestnuthall.core.routing import (
-    ConnectionShare,
+    ConnectionBudget,
     ExtraLoadBudget,
     Router,
     RouterSettings,
@@ -64,12 +64,12 @@
     budget = ExtraLoadBudget(ExtraLoadPolicy())
     n_extra = 0
     for _ in range(N_CALLS // 10):
-        budget.earn(range(10), utilisation_ratio, 0.0)
+        budget.record_calls(range(10), utilisation_ratio, 0.0)
         for _ in range(10):
             n_extra += (
-                budget.try_take_hedge("s", 0.0, 2.0)
+                budget.try_acquire_hedge("s", 0.0, 2.0)
                 if hedges
-                else budget.try_take_retry("s", 0.0, may_overdraw=True)
+                else budget.try_acquire_retry("s", 0.0, may_overdraw=True)
             )
     assert n_extra <= n_extra_max
 
@@ -77,10 +77,10 @@
 def test_retries_go_before_hedges():
     """Without credit a retry that saves coverage must still be possible."""
     budget = ExtraLoadBudget(ExtraLoadPolicy())
-    while budget.try_take_hedge("s", 0.0, 2.0):
+    while budget.try_acquire_hedge("s", 0.0, 2.0):
         pass
-    assert budget.try_take_retry("s", 0.0, may_overdraw=True)
-    assert not budget.try_take_retry("s", 0.0)
+    assert budget.try_acquire_retry("s", 0.0, may_overdraw=True)
+    assert not budget.try_acquire_retry("s", 0.0)
 
 
 @pytest.mark.parametrize(
@@ -191,7 +191,7 @@
 def test_connections_never_pass_the_cap(seed, n_connections_max):
     """Instances that start and leave must not exhaust an upstream's connections."""
     random = Random(seed)
-    shares = {i: ConnectionShare(0.0) for i in range(9)}
+    shares = {i: ConnectionBudget(0.0) for i in range(9)}
     now_ms = 0.0
     for step in range(400):
         now_ms += 500.0
@@ -200,10 +200,10 @@
             share.observe(n_alive, now_ms)
         # One instance of a rolling restart starts before the others see it.
         if step % 25 == 24 and n_alive < 12 and random.random() < 0.5:
-            shares[100 + step] = ConnectionShare(now_ms)
+            shares[100 + step] = ConnectionBudget(now_ms)
         elif step % 25 == 24 and n_alive > 6:
             del shares[random.choice(list(shares))]
-        budgets = [share.budget(n_connections_max) for share in shares.values()]
+        budgets = [share.n_connections(n_connections_max) for share in shares.values()]
         assert sum(budgets) <= n_connections_max
 
 
@@ -212,7 +212,7 @@
     router, shard, replicas = make_router()
     fail(router, replicas[0], REPLICA_REPLACED, 0.0)
     assert "r0" not in chosen(router, shard, 60_000.0)
-    router.forget("r0")
+    router.remove("r0")
     assert "r0" in chosen(router, shard, 60_000.0)
 
 
@@ -250,12 +250,12 @@
             started_ms = 1_000.0 * i
             router.on_started(replica, started_ms, "sweep")
             router.on_answered(
-                replica, started_ms, ANSWER, started_ms + 30.0 * slow, work="sweep"
+                replica, started_ms, ANSWER, started_ms + 30.0 * slow, call_type="sweep"
             )
             if i <= 30:
                 router.on_started(replica, started_ms, "check")
                 router.on_answered(
-                    replica, started_ms, ANSWER, started_ms + 10.0, work="check"
+                    replica, started_ms, ANSWER, started_ms + 10.0, call_type="check"
                 )
-    assert "r0" not in chosen(router, shard, 39_300.0, work="check")
+    assert "r0" not in chosen(router, shard, 39_300.0, call_type="check")
     assert router.hedge_delay_ms("check") < 15.0 < router.hedge_delay_ms("sweep")
--- a/chestnuthall/core/routing/tests/test_repeats.py
+++ b/chestnuthall/core/routing/tests/test_service_budget.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from chestnuthall.core.routing import RepeatBudget, RepeatLimits
+from chestnuthall.core.routing import ServiceExtraLoadBudget, ServiceExtraLoadLimits
 
 RATIO = 0.2
 WINDOW_MS = 10_000.0
@@ -15,8 +15,8 @@
 def play(seed, n_instances, per_s, ask_ratio, n_known):
     """Return the request times and repeat times of a whole fleet."""
     random = Random(seed)
-    limits = RepeatLimits(ratio=RATIO, window_ms=WINDOW_MS, n_floor=N_FLOOR)
-    fleet = [RepeatBudget(limits) for _ in range(n_instances)]
+    limits = ServiceExtraLoadLimits(ratio=RATIO, window_ms=WINDOW_MS, n_floor=N_FLOOR)
+    fleet = [ServiceExtraLoadBudget(limits) for _ in range(n_instances)]
     for budget in fleet:
         budget.set_n_instances(n_known)
     requested, repeated = [], []
@@ -26,13 +26,13 @@
         is_high = int(now_ms / 3_000.0) % 2 == 0
         now_ms += random.expovariate((2.0 if is_high else 0.2) * per_s / 1000.0)
         budget = fleet[int(random.betavariate(1, 3) * n_instances)]
-        budget.earn(["s"], 0.0, now_ms)
+        budget.record_calls(["s"], 0.0, now_ms)
         requested.append(now_ms)
         while random.random() < ask_ratio:
             is_taken = (
-                budget.try_take_hedge("s", now_ms, 2.0)
+                budget.try_acquire_hedge("s", now_ms, 2.0)
                 if random.random() < 0.5
-                else budget.try_take_retry("s", now_ms)
+                else budget.try_acquire_retry("s", now_ms)
             )
             if is_taken:
                 repeated.append(now_ms)
@@ -68,17 +68,19 @@
 
 def test_an_unknown_fleet_has_no_part_of_the_floor():
     """A starting instance must not take a floor that others may be using."""
-    limits = RepeatLimits(ratio=RATIO, window_ms=WINDOW_MS, n_floor=N_FLOOR)
-    budget = RepeatBudget(limits)
-    budget.earn(["s"], 0.0, 0.0)
-    assert not budget.try_take_retry("s", 1.0)
+    limits = ServiceExtraLoadLimits(ratio=RATIO, window_ms=WINDOW_MS, n_floor=N_FLOOR)
+    budget = ServiceExtraLoadBudget(limits)
+    budget.record_calls(["s"], 0.0, 0.0)
+    assert not budget.try_acquire_retry("s", 1.0)
 
 
 def test_hedges_leave_a_part_to_retries():
     """A retry that saves an answer must be possible after many hedges."""
-    budget = RepeatBudget(RepeatLimits(ratio=0.2, window_ms=WINDOW_MS, n_floor=0.0))
+    budget = ServiceExtraLoadBudget(
+        ServiceExtraLoadLimits(ratio=0.2, window_ms=WINDOW_MS, n_floor=0.0)
+    )
     for now_ms in range(100):
-        budget.earn(["s"], 0.0, float(now_ms))
-    while budget.try_take_hedge("s", 100.0, 2.0):
+        budget.record_calls(["s"], 0.0, float(now_ms))
+    while budget.try_acquire_hedge("s", 100.0, 2.0):
         pass
-    assert budget.try_take_retry("s", 100.0)
+    assert budget.try_acquire_retry("s", 100.0)
--- a/chestnuthall/daemon/tests/test_mutations_on_store.py
+++ b/chestnuthall/daemon/tests/test_mutations_on_store.py
@@ -58,7 +58,9 @@
     async def fetch_partition_map(self, replica, timeout_ms):
         return NO_REPLICA.because("no map")
 
-    def set_connection_budget(self, group, n_connections, kept_ratio=1.0, n_near=None):
+    def set_connection_budget(
+        self, group, n_connections, connected_ratio=1.0, n_connections_in_zone=None
+    ):
         pass
 
 
--- a/chestnuthall/daemon/tests/test_urgent_news.py
+++ b/chestnuthall/daemon/tests/test_urgent_news.py
@@ -81,7 +81,7 @@
 def n_using(fleet):
     """How many instances would send the replica a new call now."""
     return sum(
-        item.parts["router"].holds(REPLICA, 1, item.parts["clock"].now_ms())
+        item.parts["router"].serves_snapshot(REPLICA, 1, item.parts["clock"].now_ms())
         for item in fleet.instances.values()
     )
 
@@ -279,7 +279,7 @@
         parts["directory"].add_group(replace(GROUP, name="late"))
         await asyncio.sleep(BOUND_S)
         now_ms = parts["clock"].now_ms()
-        return parts["directory"].router("late").holds(REPLICA, 1, now_ms)
+        return parts["directory"].router("late").serves_snapshot(REPLICA, 1, now_ms)
 
     assert not run_virtual(scenario())
 
--- a/chestnuthall/platform/_instance.py
+++ b/chestnuthall/platform/_instance.py
@@ -28,7 +28,11 @@
 from chestnuthall.core.overload import LagSettings, OverloadDetector
 from chestnuthall.core.quarantine import QuarantineRegister, QuarantineSettings
 from chestnuthall.core.registry import ReplicaRegister
-from chestnuthall.core.routing import RepeatBudget, RepeatLimits, RouterSettings
+from chestnuthall.core.routing import (
+    RouterSettings,
+    ServiceExtraLoadBudget,
+    ServiceExtraLoadLimits,
+)
 from chestnuthall.platform._configuration import read_configuration, read_limits
 from chestnuthall.platform._dialect import SINGLETON, PlatformDialect
 from chestnuthall.platform._frontend import (
@@ -52,7 +56,7 @@
     InstanceEntry,
     Lifecycle,
     PeerAwareCaller,
-    PeerSets,
+    PeerShardSets,
     Presence,
     QueryService,
     RelayService,
@@ -159,8 +163,8 @@
             lambda: self.presence.near_peers,
             [x for x in settings.seed_addresses if x != settings.peer_address],
         )
-        self._budget = RepeatBudget(
-            RepeatLimits(
+        self._budget = ServiceExtraLoadBudget(
+            ServiceExtraLoadLimits(
                 ratio=settings.repeat_ratio,
                 window_ms=1000.0 * settings.repeat_window_s,
                 n_floor=settings.n_repeats_floor,
@@ -215,15 +219,15 @@
             clock,
             self.configuration,
             lambda: self.presence.n_instances,
-            n_assumed=1,
-            n_near=self.presence.n_near,
+            n_instances_assumed=1,
+            n_instances_in_zone=self.presence.n_instances_in_zone,
         )
         admissions = Admissions(clock)
         self._parts = EqualParts(
             clock, admissions, lambda: self.presence.n_instances or 1
         )
         self._peer_caller = self._make_peer_caller()
-        sets = PeerSets(settings.name, settings.zone, lambda: self.presence.peers)
+        sets = PeerShardSets(settings.name, settings.zone, lambda: self.presence.peers)
         query = QueryService(
             identity=Identity(settings.name, settings.caller_address, settings.zone),
             clock=clock,
@@ -239,7 +243,7 @@
             shared_budget=self._budget,
             retry_after_ms=RETRY_AFTER_MS,
             decision_log=self._decisions,
-            bundle=sets.bundle,
+            combine_shards=sets.combine_shards,
         )
         self._relay = RelayService(query, self.configuration, self.directory)
         frontend = RelayFrontend(self._relay, self.lifecycle, clock)
--- a/chestnuthall/ports/_shards.py
+++ b/chestnuthall/ports/_shards.py
@@ -24,14 +24,15 @@
         self,
         group: str,
         n_connections: int,
-        kept_ratio: float = 1.0,
-        n_near: int | None = None,
+        connected_ratio: float = 1.0,
+        n_connections_in_zone: int | None = None,
     ) -> None:
         """Set how many connections may be open to each replica of a group.
 
-        ``kept_ratio`` is the part of the replicas to which one stays open when
-        there is less than one for each instance. ``n_near`` is the number for
-        replicas in the instance's own zone, where they have one of their own.
+        ``connected_ratio`` is the part of the replicas to which one stays open when
+        there is less than one for each instance. ``n_connections_in_zone`` is the
+        number for replicas in the instance's own zone, where they have one of their
+        own.
         """
         ...
 
--- a/chestnuthall/services/__init__.py
+++ b/chestnuthall/services/__init__.py
@@ -77,7 +77,7 @@
 )
 from chestnuthall.services._peer_sets import (
     PeerAwareCaller,
-    PeerSets,
+    PeerShardSets,
 )
 from chestnuthall.services._presence import (
     InstanceEntry,
@@ -164,7 +164,7 @@
     "PartitionMapReader",
     "PeerConfigurations",
     "PeerAwareCaller",
-    "PeerSets",
+    "PeerShardSets",
     "Presence",
     "Publication",
     "QuarantineNews",
--- a/chestnuthall/services/_connections.py
+++ b/chestnuthall/services/_connections.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from chestnuthall.core.routing import N_INSTANCES_ASSUMED, ConnectionShare
+from chestnuthall.core.routing import N_INSTANCES_ASSUMED, ConnectionBudget
 from chestnuthall.ports import Clock, ShardCaller
 from chestnuthall.services._configuration import ConfigurationKeeper
 
@@ -13,8 +13,8 @@
     """Divides each upstream's cap over the instances as they come and go.
 
     ``n_instances`` returns None until it is known, and at the start as many as
-    ``n_assumed`` are assumed. ``n_near`` returns how many are in the zone of this
-    one, or None where all zones share alike.
+    ``n_instances_assumed`` are assumed. ``n_instances_in_zone`` returns how many are in
+    the zone of this one, or None where all zones share alike.
     """
 
     def __init__(
@@ -23,43 +23,49 @@
         clock: Clock,
         configuration: ConfigurationKeeper,
         n_instances: Callable[[], int | None],
-        n_assumed: int = N_INSTANCES_ASSUMED,
-        n_near: Callable[[], int | None] = lambda: None,
+        n_instances_assumed: int = N_INSTANCES_ASSUMED,
+        n_instances_in_zone: Callable[[], int | None] = lambda: None,
     ) -> None:
-        self._n_near = n_near
-        self._n_assumed = n_assumed
+        self._n_instances_in_zone = n_instances_in_zone
+        self._n_instances_assumed = n_instances_assumed
         self._caller = caller
         self._clock = clock
         self._configuration = configuration
         self._n_instances = n_instances
-        self._share: ConnectionShare | None = None
-        configuration.on_change(lambda _: self.divide())
+        self._budget: ConnectionBudget | None = None
+        configuration.on_change(lambda _: self.update())
 
-    def divide(self) -> None:
+    def update(self) -> None:
         """Set the budgets for the instances known now."""
         n_instances = self._n_instances()
         in_force = self._configuration.in_force
         if n_instances is None or in_force is None:
             return
-        share = self._observe(n_instances)
-        n_near = self._n_near()
+        budget = self._observe(n_instances)
+        n_instances_in_zone = self._n_instances_in_zone()
         for group in in_force.document.groups:
-            budget = share.budget(group.n_connections_max)
-            kept_ratio = share.kept_ratio(group.n_connections_max)
-            near = None
-            if n_near is not None:
-                near = share.near_budget(group.n_connections_max, n_near)
-            self._caller.set_connection_budget(group.name, budget, kept_ratio, near)
+            n_connections = budget.n_connections(group.n_connections_max)
+            connected_ratio = budget.connected_ratio(group.n_connections_max)
+            n_connections_in_zone = None
+            if n_instances_in_zone is not None:
+                n_connections_in_zone = budget.n_connections_in_zone(
+                    group.n_connections_max, n_instances_in_zone
+                )
+            self._caller.set_connection_budget(
+                group.name, n_connections, connected_ratio, n_connections_in_zone
+            )
 
-    def _observe(self, n_instances: int) -> ConnectionShare:
+    def _observe(self, n_instances: int) -> ConnectionBudget:
         now_ms = self._clock.now_ms()
-        if self._share is None:
-            self._share = ConnectionShare(now_ms, max(n_instances, self._n_assumed))
-        self._share.observe(n_instances, now_ms)
-        return self._share
+        if self._budget is None:
+            self._budget = ConnectionBudget(
+                now_ms, max(n_instances, self._n_instances_assumed)
+            )
+        self._budget.observe(n_instances, now_ms)
+        return self._budget
 
     async def run(self) -> None:
         """Follow the number of instances until cancelled."""
         while True:
-            self.divide()
+            self.update()
             await self._clock.sleep_ms(OBSERVE_INTERVAL_MS)
--- a/chestnuthall/services/_directory.py
+++ b/chestnuthall/services/_directory.py
@@ -125,7 +125,9 @@
             return None
         now_ms = self._clock.now_ms()
         return catalog.choose(
-            lambda replica, snapshot_id: router.holds(replica, snapshot_id, now_ms),
+            lambda replica, snapshot_id: router.serves_snapshot(
+                replica, snapshot_id, now_ms
+            ),
             excluded,
         )
 
--- a/chestnuthall/services/_drain_news.py
+++ b/chestnuthall/services/_drain_news.py
@@ -132,13 +132,13 @@
     @_perform.register
     def _(self, action: StopCalls) -> None:
         for router in self._directory.routers():
-            router.drain_until(action.replica_name, action.until_ms)
+            router.set_drained_until(action.replica_name, action.until_ms)
 
     @_perform.register
     def _(self, action: ResumeCalls) -> None:
         _log.info("replica is back", extra={"replica": action.replica_name})
         for router in self._directory.routers():
-            router.drain_until(action.replica_name, float("-inf"))
+            router.set_drained_until(action.replica_name, float("-inf"))
 
     @_perform.register
     def _(self, action: SpreadNews) -> None:
@@ -196,8 +196,10 @@
         self,
         group: str,
         n_connections: int,
-        kept_ratio: float = 1.0,
-        n_near: int | None = None,
+        connected_ratio: float = 1.0,
+        n_connections_in_zone: int | None = None,
     ) -> None:
         """Set how many connections may be open to each replica of a group."""
-        self._caller.set_connection_budget(group, n_connections, kept_ratio, n_near)
+        self._caller.set_connection_budget(
+            group, n_connections, connected_ratio, n_connections_in_zone
+        )
--- a/chestnuthall/services/_peer_sets.py
+++ b/chestnuthall/services/_peer_sets.py
@@ -4,7 +4,7 @@
 
 from chestnuthall.core.model import Replica, Shard, ShardAnswer, ShardCall
 from chestnuthall.core.results import Failure
-from chestnuthall.core.routing import HashRing, bundle_far_shards
+from chestnuthall.core.routing import HashRing, combine_remote_shards
 from chestnuthall.ports import (
     CallListener,
     CancelCall,
@@ -17,7 +17,7 @@
 N_PEERS_USED = 6
 
 
-class PeerSets:
+class PeerShardSets:
     """Joins shards that are far from this instance into sets for its peers."""
 
     def __init__(
@@ -32,9 +32,9 @@
         self._known: Sequence[InstanceEntry] = ()
         self._chosen: dict[frozenset[str], tuple[Replica, ...]] = {}
 
-    def bundle(self, shards: Sequence[Shard]) -> tuple[Shard, ...]:
+    def combine_shards(self, shards: Sequence[Shard]) -> tuple[Shard, ...]:
         """Return the shards, those far away as one set where a peer is nearer."""
-        return bundle_far_shards(shards, self._own_zone, self._peers_in)
+        return combine_remote_shards(shards, self._own_zone, self._peers_in)
 
     def _peers_in(self, zones: frozenset[str]) -> tuple[Replica, ...]:
         """Return a few peers in the zones, other ones for each instance."""
@@ -85,8 +85,10 @@
         self,
         group: str,
         n_connections: int,
-        kept_ratio: float = 1.0,
-        n_near: int | None = None,
+        connected_ratio: float = 1.0,
+        n_connections_in_zone: int | None = None,
     ) -> None:
         """Set how many connections may be open to each replica of a group."""
-        self._replicas.set_connection_budget(group, n_connections, kept_ratio, n_near)
+        self._replicas.set_connection_budget(
+            group, n_connections, connected_ratio, n_connections_in_zone
+        )
--- a/chestnuthall/services/_presence.py
+++ b/chestnuthall/services/_presence.py
@@ -63,7 +63,7 @@
         """The other instances in this zone, also those that are down."""
         return tuple(item for item in self.peers if item.zone == self._own.zone)
 
-    def n_near(self) -> int:
+    def n_instances_in_zone(self) -> int:
         """Return the number of instances in this zone, with this one."""
         return 1 + len(self.near_peers)
 
--- a/chestnuthall/services/_query.py
+++ b/chestnuthall/services/_query.py
@@ -11,8 +11,8 @@
     Completion,
     FanOut,
     FanOutContext,
+    call_type_of,
     target_shards,
-    work_of,
 )
 from chestnuthall.core.model import (
     Account,
@@ -67,7 +67,7 @@
     admission_decision,
     class_of,
     failure_without_replicas,
-    may_be_bundled,
+    may_be_combined,
     n_slots,
     within_class_deadline,
 )
@@ -126,9 +126,9 @@
         shared_budget: ExtraLoad | None = None,
         retry_after_ms: float = RETRY_AFTER_MS,
         decision_log: DecisionLog | None = None,
-        bundle: Callable[[Sequence[Shard]], tuple[Shard, ...]] | None = None,
+        combine_shards: Callable[[Sequence[Shard]], tuple[Shard, ...]] | None = None,
     ) -> None:
-        self._bundle = bundle
+        self._combine_shards = combine_shards
         self._decision_log = decision_log
         self._retry_after_ms = retry_after_ms
         self._record_outcome = record_outcome
@@ -303,8 +303,8 @@
             utilisation_ratio=max(
                 self._sample_utilisation(plan, ticket), admission.utilisation_ratio
             ),
-            work=work_of(request),
-            bundle=self._bundle if may_be_bundled(request) else None,
+            call_type=call_type_of(request),
+            combine_shards=self._combine_shards if may_be_combined(request) else None,
         )
         if self._divided_search is not None and isinstance(request, SearchRequest):
             completion = await self._divided_search(request, partition_map, context)
--- a/chestnuthall/services/_query_rules.py
+++ b/chestnuthall/services/_query_rules.py
@@ -55,7 +55,7 @@
     )
 
 
-def may_be_bundled(request: Request) -> bool:
+def may_be_combined(request: Request) -> bool:
     """Return whether peers may answer for some shards of a request.
 
     A part that a peer has asked for is not divided further.
--- a/chestnuthall/services/_service_directory.py
+++ b/chestnuthall/services/_service_directory.py
@@ -239,15 +239,15 @@
         replica = change.new.replica
         now_ms = self._clock.now_ms()
         if change.kind is ChangeKind.RESTARTED and change.old is not None:
-            self._router.forget(replica.name)
+            self._router.remove(replica.name)
             self._connections.forget(change.old.replica.address)
         if change.kind is ChangeKind.GONE:
-            self._router.forget(replica.name)
+            self._router.remove(replica.name)
             self._forget_connections(replica.address)
         if change.kind in (ChangeKind.SEEN, ChangeKind.RESTARTED):
             self._connections.prepare(replica, change.new.service)
             if change.new.warm_up_left_ms > 0.0:
-                self._router.begin_warm_up(replica.name, now_ms)
+                self._router.start_ramp_up(replica.name, now_ms)
         _log.info(
             "replica changed",
             extra={
--- a/chestnuthall/services/tests/_world.py
+++ b/chestnuthall/services/tests/_world.py
@@ -181,7 +181,9 @@
         await asyncio.sleep(0.001)
         return self.newest
 
-    def set_connection_budget(self, group, n_connections, kept_ratio=1.0, n_near=None):
+    def set_connection_budget(
+        self, group, n_connections, connected_ratio=1.0, n_connections_in_zone=None
+    ):
         pass
 
 
--- a/chestnuthall/services/tests/test_crashing_requests.py
+++ b/chestnuthall/services/tests/test_crashing_requests.py
@@ -25,7 +25,7 @@
         ]
         for world in self.worlds:
             # Credit for hedges, as after a calm stretch.
-            world.query._budgets["c"].earn(range(1_000), 0.0, 0.0)
+            world.query._budgets["c"].record_calls(range(1_000), 0.0, 0.0)
 
     async def spread(self, sender):
         if not self.can_talk:
--- a/chestnuthall/services/tests/test_fault_matrix.py
+++ b/chestnuthall/services/tests/test_fault_matrix.py
@@ -112,7 +112,7 @@
     """Serve one request with faults, then send a mutation again once all is well."""
     world = World(seed)
     # Credit for hedges, as after a calm stretch.
-    world.query._budgets["c"].earn(range(1_000), 0.0, 0.0)
+    world.query._budgets["c"].record_calls(range(1_000), 0.0, 0.0)
     injector = Injector(world, kind, step, faults)
     request = world.request(kind)
     world.task = asyncio.ensure_future(world.query.serve(request))
--- a/chestnuthall/services/tests/test_presence.py
+++ b/chestnuthall/services/tests/test_presence.py
@@ -87,7 +87,7 @@
     if counts:
         assert [item.name for item in presence.peers] == ["near", "far"]
         assert [item.name for item in presence.near_peers] == ["near"]
-        assert presence.n_near() == 2
+        assert presence.n_instances_in_zone() == 2
 
 
 # (case, own entry in the store, whether it is written again)
