--- a/chestnuthall/adapters/callers/_encode.py
+++ b/chestnuthall/adapters/callers/_encode.py
@@ -65,7 +65,7 @@
         "result_code": int(kind.code),
         "result": kind.name,
         "reason": outcome.failure.reason,
-        "run": outcome.run,
+        "run": outcome.run_state,
         "repeat": outcome.repeat,
         "configuration_revision": outcome.configuration_revision,
         "account": encode_account(outcome.account),
--- a/chestnuthall/cli/tests/test_burn_flush.py
+++ b/chestnuthall/cli/tests/test_burn_flush.py
@@ -50,7 +50,7 @@
             Refusal(
                 request_id="r",
                 failure=QUEUE_FULL.because("test"),
-                run=QUEUE_FULL.run,
+                run_state=QUEUE_FULL.run,
                 repeat=QUEUE_FULL.repeat,
                 configuration_revision=1,
                 account=found,
--- a/chestnuthall/core/fanout/__init__.py
+++ b/chestnuthall/core/fanout/__init__.py
@@ -2,7 +2,6 @@
 
 from chestnuthall.core.fanout._events import (
     Action,
-    Begin,
     CallAnswered,
     CallFailed,
     Cancel,
@@ -11,12 +10,13 @@
     Dispatch,
     Event,
     MapReplaced,
+    NotifyPeers,
+    PeersNotified,
+    QueryStarted,
     Replan,
     SetTimer,
     TimerFired,
-    VerdictGiven,
-    Warn,
-    Warned,
+    VerdictReached,
 )
 from chestnuthall.core.fanout._machine import (
     FanOut,
@@ -27,7 +27,7 @@
 )
 from chestnuthall.core.fanout._partial import (
     PartialAnswer,
-    merge_partials,
+    merge_partial_answers,
     sum_coverage,
 )
 from chestnuthall.core.fanout._state import (
@@ -40,7 +40,7 @@
 
 __all__ = [
     "Action",
-    "Begin",
+    "QueryStarted",
     "CallAnswered",
     "CallFailed",
     "Cancel",
@@ -55,12 +55,12 @@
     "Replan",
     "SetTimer",
     "TimerFired",
-    "VerdictGiven",
-    "Warn",
-    "Warned",
+    "VerdictReached",
+    "NotifyPeers",
+    "PeersNotified",
     "coverage_of",
     "merge_hits",
-    "merge_partials",
+    "merge_partial_answers",
     "sum_coverage",
     "target_shards",
     "call_type_of",
--- a/chestnuthall/core/fanout/_events.py
+++ b/chestnuthall/core/fanout/_events.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Begin(Event):
+class QueryStarted(Event):
     """The query was admitted and its map is pinned."""
 
 
@@ -56,12 +56,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Warned(Event):
-    """The answer to ``Warn``: the peers that can be reached know."""
+class PeersNotified(Event):
+    """The answer to ``NotifyPeers``: the peers that can be reached know."""
 
 
 @dataclass(frozen=True, slots=True)
-class VerdictGiven(Event):
+class VerdictReached(Event):
     """A suspected request was cleared or quarantined, here or at a peer."""
 
 
@@ -95,11 +95,11 @@
 class Replan(Action):
     """Ask for a map of another snapshot than the ones that are gone."""
 
-    gone_snapshot_ids: tuple[int, ...]
+    unavailable_snapshot_ids: tuple[int, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Warn(Action):
+class NotifyPeers(Action):
     """Tell the peers of a suspected request before a second replica runs it."""
 
     fingerprint: str
@@ -109,8 +109,8 @@
 class Completion:
     """The outcome of a fan-out; ``failure`` is None for an answer.
 
-    ``run`` says whether any replica ran the request. ``reply`` is what the
-    caller of a relayed request gets, and ``parts`` what it was made of.
+    ``run_state`` says whether any replica ran the request. ``reply`` is what the
+    caller of a relayed request gets, and ``shard_replies`` what it was made of.
     ``decisions`` tell how the outcome came about, in order.
     """
 
@@ -119,9 +119,9 @@
     coverage: Coverage
     snapshot_id: int
     account: FanOutAccount
-    run: RunState = RunState.UNKNOWN
+    run_state: RunState = RunState.UNKNOWN
     reply: Reply | None = None
-    parts: tuple[Reply, ...] = ()
+    shard_replies: tuple[Reply, ...] = ()
     decisions: tuple[Decision, ...] = ()
 
 
--- a/chestnuthall/core/fanout/_handlers.py
+++ b/chestnuthall/core/fanout/_handlers.py
@@ -5,15 +5,15 @@
 from chestnuthall.core.fanout import _probes as probes
 from chestnuthall.core.fanout._events import (
     Action,
-    Begin,
     CallAnswered,
     CallFailed,
     Event,
     MapReplaced,
+    PeersNotified,
+    QueryStarted,
     Replan,
     TimerFired,
-    VerdictGiven,
-    Warned,
+    VerdictReached,
 )
 from chestnuthall.core.fanout._hedges import hedge_due_shards
 from chestnuthall.core.fanout._progress import ProbeStep, RunningCall, ShardProgress
@@ -50,7 +50,7 @@
 
 
 @apply_event.register
-def _(event: Begin, state: FanOutState) -> list[Action]:
+def _(event: QueryStarted, state: FanOutState) -> list[Action]:
     # The probe of a suspected request is one call to one replica.
     may_combine = not state.is_suspected(event.now_ms)
     state.plan(state.partition_map, may_combine)
@@ -258,9 +258,9 @@
     progress.is_given_up = True
     if state.is_replanning or not state.may_replan():
         return []
-    state.gone_snapshot_ids.append(state.partition_map.snapshot_id)
+    state.unavailable_snapshot_ids.append(state.partition_map.snapshot_id)
     state.is_replanning = True
-    return [Replan(tuple(state.gone_snapshot_ids))]
+    return [Replan(tuple(state.unavailable_snapshot_ids))]
 
 
 @apply_event.register
@@ -327,10 +327,10 @@
 
 
 @apply_event.register
-def _(event: Warned, state: FanOutState) -> list[Action]:
+def _(event: PeersNotified, state: FanOutState) -> list[Action]:
     return probes.on_warned(state, event.now_ms)
 
 
 @apply_event.register
-def _(event: VerdictGiven, state: FanOutState) -> list[Action]:
+def _(event: VerdictReached, state: FanOutState) -> list[Action]:
     return probes.settle_held(state, event.now_ms)
--- a/chestnuthall/core/fanout/_machine.py
+++ b/chestnuthall/core/fanout/_machine.py
@@ -39,19 +39,19 @@
         is_plain_answer = isinstance(event, CallAnswered) and not actions
         return actions + self._settle(event.now_ms, is_plain_answer)
 
-    def complete(self, now_ms: float, why: str) -> list[Action]:
+    def complete(self, now_ms: float, reason: str) -> list[Action]:
         """End the query with what was merged."""
         self.note(
             DecisionEvent.SETTLED,
             now_ms,
-            why,
+            reason,
             self.coverage().ratio,
             self.partition_map.snapshot_id,
         )
         completion = completion_of(self, now_ms)
-        return [*self.abandon(now_ms), Complete(completion)]
+        return [*self.cancel(now_ms), Complete(completion)]
 
-    def abandon(self, now_ms: float) -> list[Action]:
+    def cancel(self, now_ms: float) -> list[Action]:
         """Cancel every call and leave the probe to another query."""
         actions = self.cancel_all(now_ms)
         self.is_complete = True
@@ -62,9 +62,9 @@
         return actions
 
     def _settle(self, now_ms: float, may_keep_timer: bool) -> list[Action]:
-        why = self._reason_to_stop(now_ms)
-        if why is not None:
-            return self.complete(now_ms, why)
+        reason = self._reason_to_stop(now_ms)
+        if reason is not None:
+            return self.complete(now_ms, reason)
         if may_keep_timer:
             return []
         earliest_ms = now_ms + TIMER_DISTANCE_MIN_MS
--- a/chestnuthall/core/fanout/_outcome.py
+++ b/chestnuthall/core/fanout/_outcome.py
@@ -25,17 +25,17 @@
     n_hits = n_hits_wanted(state.request)
     answers = state.answers().values()
     hits = () if failure else merge_hits(answers, n_hits)
-    parts = tuple(item.reply for item in answers if item.reply is not None)
-    reply = merge_replies(state.request, parts) if failure is None else None
+    shard_replies = tuple(item.reply for item in answers if item.reply is not None)
+    reply = merge_replies(state.request, shard_replies) if failure is None else None
     return Completion(
         failure=failure,
         hits=hits,
         coverage=coverage,
         snapshot_id=state.partition_map.snapshot_id,
         account=state.account(),
-        run=state.run_state(),
+        run_state=state.run_state(),
         reply=error_reply_of(state.request, state.error_reply) if failure else reply,
-        parts=() if failure else parts,
+        shard_replies=() if failure else shard_replies,
         decisions=tuple(state.decisions),
     )
 
--- a/chestnuthall/core/fanout/_partial.py
+++ b/chestnuthall/core/fanout/_partial.py
@@ -36,7 +36,7 @@
     )
 
 
-def merge_partials(
+def merge_partial_answers(
     parts: Sequence[PartialAnswer], snapshot_id: int, n_hits_max: int
 ) -> PartialAnswer:
     """Return the partial answers of one snapshot as one answer.
--- a/chestnuthall/core/fanout/_probes.py
+++ b/chestnuthall/core/fanout/_probes.py
@@ -5,7 +5,7 @@
 probe, and the others wait for its outcome.
 """
 
-from chestnuthall.core.fanout._events import Action, Warn
+from chestnuthall.core.fanout._events import Action, NotifyPeers
 from chestnuthall.core.fanout._progress import ProbeStep, ShardProgress
 from chestnuthall.core.fanout._state import N_ATTEMPTS_MAX, PROBE, FanOutState
 from chestnuthall.core.fanout._targets import open_shard
@@ -41,8 +41,8 @@
         request.fingerprint, request.request_id, now_ms
     ):
         return []
-    state.probe_step = ProbeStep.WARNING
-    return [Warn(request.fingerprint)]
+    state.probe_step = ProbeStep.NOTIFYING_PEERS
+    return [NotifyPeers(request.fingerprint)]
 
 
 def on_warned(state: FanOutState, now_ms: float) -> list[Action]:
--- a/chestnuthall/core/fanout/_progress.py
+++ b/chestnuthall/core/fanout/_progress.py
@@ -10,7 +10,7 @@
     """How far the probe of a suspected request has come."""
 
     NONE = "none"
-    WARNING = "warning"
+    NOTIFYING_PEERS = "warning"
     RUNNING = "running"
 
 
--- a/chestnuthall/core/fanout/_state.py
+++ b/chestnuthall/core/fanout/_state.py
@@ -92,7 +92,7 @@
         self.is_replanning = False
         self.has_given_up = False
         self.probe_step = ProbeStep.NONE
-        self.gone_snapshot_ids: list[int] = []
+        self.unavailable_snapshot_ids: list[int] = []
         self.last_failure: Failure | None = None
         self.error_reply: Reply | None = None
         self.n_calls = 0
@@ -309,7 +309,7 @@
 
     def may_replan(self) -> bool:
         """Return whether the query may start over on another snapshot."""
-        return len(self.gone_snapshot_ids) < N_REPLANS_MAX
+        return len(self.unavailable_snapshot_ids) < N_REPLANS_MAX
 
     def is_suspected(self, now_ms: float) -> bool:
         """Return whether the request cost a replica and was not cleared since."""
@@ -356,7 +356,7 @@
             n_calls=self.n_calls,
             n_hedges=self.n_hedges,
             n_retries=self.n_retries,
-            n_replans=len(self.gone_snapshot_ids),
+            n_replans=len(self.unavailable_snapshot_ids),
             n_discarded=self.n_discarded,
             slowest_shard_id=self.slowest_shard_id,
             slowest_shard_ms=self.slowest_shard_ms,
--- a/chestnuthall/core/fanout/tests/test_machine.py
+++ b/chestnuthall/core/fanout/tests/test_machine.py
@@ -5,7 +5,6 @@
 import pytest
 
 from chestnuthall.core.fanout import (
-    Begin,
     CallAnswered,
     CallFailed,
     Complete,
@@ -13,6 +12,7 @@
     FanOut,
     FanOutContext,
     MapReplaced,
+    QueryStarted,
     Replan,
     SetTimer,
     TimerFired,
@@ -138,7 +138,7 @@
 def test_only_own_whole_answers_count(changes, n_shards_covered):
     """A mixed snapshot or a crossed answer must not reach the caller."""
     fan_out = make_fan_out(partition_map=make_map(n_replicas=1))
-    calls = calls_of(fan_out.handle(Begin(0.0)))
+    calls = calls_of(fan_out.handle(QueryStarted(0.0)))
     actions = []
     for index, call in enumerate(calls):
         answer = answer_to(call, **(changes if index == 0 else {}))
@@ -153,7 +153,7 @@
 def test_duplicate_answer_counts_once():
     """A shard that answers twice must not raise the coverage twice."""
     fan_out = make_fan_out()
-    first, *rest = calls_of(fan_out.handle(Begin(0.0)))
+    first, *rest = calls_of(fan_out.handle(QueryStarted(0.0)))
     for _ in range(2):
         fan_out.handle(CallAnswered(1.0, first.call_id, answer_to(first)))
     assert fan_out.coverage().n_documents_covered == 100
@@ -164,7 +164,7 @@
 def test_replan_starts_over_on_one_snapshot():
     """A snapshot that goes away mid-query must not leave old hits behind."""
     fan_out = make_fan_out(partition_map=make_map(n_replicas=1))
-    first, second, _ = calls_of(fan_out.handle(Begin(0.0)))
+    first, second, _ = calls_of(fan_out.handle(QueryStarted(0.0)))
     fan_out.handle(CallAnswered(1.0, first.call_id, answer_to(first)))
     gone = SNAPSHOT_GONE.because("swapped")
     actions = fan_out.handle(CallFailed(2.0, second.call_id, gone))
@@ -183,7 +183,7 @@
 def test_no_other_snapshot_returns_what_was_merged():
     """Without a newer map the answer keeps its snapshot and true coverage."""
     fan_out = make_fan_out(partition_map=make_map(n_replicas=1))
-    first, second, third = calls_of(fan_out.handle(Begin(0.0)))
+    first, second, third = calls_of(fan_out.handle(QueryStarted(0.0)))
     fan_out.handle(CallAnswered(1.0, first.call_id, answer_to(first)))
     gone = SNAPSHOT_GONE.because("swapped")
     fan_out.handle(CallFailed(2.0, second.call_id, gone))
@@ -206,7 +206,7 @@
 def test_mutation_is_sent_again_only_if_not_started(failure, n_dispatched, kind):
     """A hold must not run twice after an answer that may have been lost."""
     fan_out = make_fan_out(request=make_mutation())
-    (call,) = calls_of(fan_out.handle(Begin(0.0)))
+    (call,) = calls_of(fan_out.handle(QueryStarted(0.0)))
     actions = fan_out.handle(CallFailed(1.0, call.call_id, failure))
     actions += fan_out.handle(TimerFired(20.0))
     assert 1 + len(calls_of(actions)) == n_dispatched
@@ -217,14 +217,14 @@
 def test_mutation_is_not_hedged():
     """A hold must not run on a second replica because the first is slow."""
     fan_out = make_fan_out(request=make_mutation(), partition_map=make_map(3, 3))
-    fan_out.handle(Begin(0.0))
+    fan_out.handle(QueryStarted(0.0))
     assert calls_of(fan_out.handle(TimerFired(DEADLINE_MS / 2))) == []
 
 
 def test_coverage_below_floor_is_a_failure():
     """An answer below the floor of its class must not look like one."""
     fan_out = make_fan_out(floor=0.9)
-    first, *_ = calls_of(fan_out.handle(Begin(0.0)))
+    first, *_ = calls_of(fan_out.handle(QueryStarted(0.0)))
     fan_out.handle(CallAnswered(1.0, first.call_id, answer_to(first)))
     completion = completion_of(fan_out.handle(TimerFired(DEADLINE_MS)))
     assert completion.failure.kind is COVERAGE_BELOW_FLOOR
@@ -234,7 +234,7 @@
 def test_soft_deadline_returns_without_stragglers():
     """A straggler must not hold back an answer that is good enough."""
     fan_out = make_fan_out(floor=0.6, soft_deadline_ms=100.0)
-    first, second, _ = calls_of(fan_out.handle(Begin(0.0)))
+    first, second, _ = calls_of(fan_out.handle(QueryStarted(0.0)))
     fan_out.handle(CallAnswered(1.0, first.call_id, answer_to(first)))
     fan_out.handle(CallAnswered(1.0, second.call_id, answer_to(second)))
     completion = completion_of(fan_out.handle(TimerFired(100.0)))
@@ -247,7 +247,7 @@
     """A timer that fires early by rounding must not be set for the same instant."""
     fan_out = make_fan_out()
     now_ms = DEADLINE_MS - early_ms - 1e-9
-    fan_out.handle(Begin(0.0))
+    fan_out.handle(QueryStarted(0.0))
     (timer,) = [
         item
         for item in fan_out.handle(TimerFired(now_ms))
@@ -259,6 +259,6 @@
 def test_answers_do_not_set_the_timer_again():
     """A pass over all shards for each answer would grow with their square."""
     fan_out = make_fan_out(partition_map=make_map(20))
-    actions = fan_out.handle(Begin(0.0))
+    actions = fan_out.handle(QueryStarted(0.0))
     for call in calls_of(actions)[:-1]:
         assert fan_out.handle(CallAnswered(1.0, call.call_id, answer_to(call))) == []
--- a/chestnuthall/core/fanout/tests/test_partial.py
+++ b/chestnuthall/core/fanout/tests/test_partial.py
@@ -6,7 +6,7 @@
     PartialAnswer,
     coverage_of,
     merge_hits,
-    merge_partials,
+    merge_partial_answers,
 )
 from chestnuthall.core.model import Hit, KeyRange, Shard, ShardAnswer
 
@@ -36,7 +36,7 @@
 @pytest.mark.parametrize("answered", [range(6), (0, 2, 5), ()])
 def test_sum_equals_the_whole(split, answered):
     """Coverage and hits must not depend on how the shards were divided."""
-    summed = merge_partials([_partial(part, answered) for part in split], 1, 4)
+    summed = merge_partial_answers([_partial(part, answered) for part in split], 1, 4)
     whole = _partial(range(N_SHARDS), answered)
     assert summed.hits == whole.hits
     assert summed.coverage.ratio == whole.coverage.ratio
@@ -47,7 +47,7 @@
 def test_other_snapshot_adds_nothing():
     """A part of another snapshot must never be merged."""
     parts = [_partial((0, 1, 2), range(6)), _partial((3, 4, 5), range(6), 2)]
-    summed = merge_partials(parts, 1, 100)
+    summed = merge_partial_answers(parts, 1, 100)
     assert {hit.key[0] for hit in summed.hits} == {"0", "1", "2"}
     assert summed.coverage.n_shards_covered == 2
     assert summed.coverage.n_shards_total == N_SHARDS
--- a/chestnuthall/core/fanout/tests/test_relayed.py
+++ b/chestnuthall/core/fanout/tests/test_relayed.py
@@ -5,13 +5,13 @@
 import pytest
 
 from chestnuthall.core.fanout import (
-    Begin,
     CallAnswered,
     CallFailed,
     Complete,
     Dispatch,
     FanOut,
     FanOutContext,
+    QueryStarted,
     TimerFired,
 )
 from chestnuthall.core.model import (
@@ -119,11 +119,13 @@
 def test_greatest_records_of_all_parts_are_merged():
     fan_out = make()
     bodies = [b"aazz", b"bb", b"zzcc", b"ddx"]
-    for body, call in zip(bodies, calls_of(fan_out.handle(Begin(0.0))), strict=True):
+    for body, call in zip(
+        bodies, calls_of(fan_out.handle(QueryStarted(0.0))), strict=True
+    ):
         actions = fan_out.handle(answered(10.0, call, body))
     completion = completion_of(actions)
     assert completion.reply.body == b"zzzzdd"
-    assert len(completion.parts) == 4
+    assert len(completion.shard_replies) == 4
 
 
 # (case, kind of failure of each call, most replicas of a shard that get it)
@@ -144,7 +146,7 @@
 def test_attempts_stay_within_the_replicas_allowed(request_kind, kind, n_replicas_most):
     """The operator's bound on replicas must hold for each shard of a request."""
     fan_out = make(request_kind)
-    pending = calls_of(fan_out.handle(Begin(0.0)))
+    pending = calls_of(fan_out.handle(QueryStarted(0.0)))
     sent = {}
     now_ms = 1.0
     for _ in range(100):
@@ -163,7 +165,7 @@
 
 def test_hedge_counts_as_an_attempt():
     fan_out = make()
-    first = calls_of(fan_out.handle(Begin(0.0)))
+    first = calls_of(fan_out.handle(QueryStarted(0.0)))
     hedges = calls_of(fan_out.handle(TimerFired(61.0)))
     assert len(hedges) == 4
     assert not calls_of(fan_out.handle(failed(62.0, first[0], ANSWER_CUT)))
@@ -190,7 +192,7 @@
 def test_time_of_the_answer(n_answered, now_ms, why):
     """An answer must neither wait for stragglers too long nor miss its floor."""
     fan_out = make()
-    for call in calls_of(fan_out.handle(Begin(0.0)))[:n_answered]:
+    for call in calls_of(fan_out.handle(QueryStarted(0.0)))[:n_answered]:
         fan_out.handle(answered(min(10.0, now_ms), call))
     fan_out.handle(TimerFired(now_ms))
     settled = [x.values[0] for x in fan_out.decisions if x.event.name == "SETTLED"]
@@ -200,7 +202,7 @@
 def test_request_that_cannot_reach_its_floor_ends_at_once():
     """Holding a lost request would keep its caller from repeating it in time."""
     fan_out = make(n_replicas=1)
-    calls = calls_of(fan_out.handle(Begin(0.0)))
+    calls = calls_of(fan_out.handle(QueryStarted(0.0)))
     actions = []
     for call in calls[:2]:
         for _ in range(6):
@@ -230,7 +232,7 @@
 def test_failed_forward(repeatable, ending, status, run):
     """A replica's error is passed on; "not run" is said only where it is true."""
     fan_out = make("forward", repeatable=repeatable)
-    pending = calls_of(fan_out.handle(Begin(0.0)))
+    pending = calls_of(fan_out.handle(QueryStarted(0.0)))
     actions, n_calls, now_ms = [], 0, 1.0
     while not fan_out.is_complete:
         if pending:
@@ -249,6 +251,6 @@
     completion = completion_of(actions)
     assert (None if completion.reply is None else completion.reply.status) == status
     if run is not None:
-        assert completion.run is run
+        assert completion.run_state is run
     if not repeatable and ending is not SHED_BY_UPSTREAM:
         assert n_calls == 1
--- a/chestnuthall/core/fanout/tests/test_shard_sets.py
+++ b/chestnuthall/core/fanout/tests/test_shard_sets.py
@@ -4,7 +4,13 @@
 
 import pytest
 
-from chestnuthall.core.fanout import Begin, CallAnswered, CallFailed, FanOut, TimerFired
+from chestnuthall.core.fanout import (
+    CallAnswered,
+    CallFailed,
+    FanOut,
+    QueryStarted,
+    TimerFired,
+)
 from chestnuthall.core.fanout.tests.test_relayed import (
     FLOOR,
     SOFT_DEADLINE_MS,
@@ -42,7 +48,7 @@
 
 def begin(fan_out):
     """Return the call of the set and those of the single shards."""
-    calls = calls_of(fan_out.handle(Begin(0.0)))
+    calls = calls_of(fan_out.handle(QueryStarted(0.0)))
     sets = [call for call in calls if call.shard_set is not None]
     return sets[0], [call for call in calls if call.shard_set is None]
 
@@ -88,7 +94,7 @@
     assert (done.failure is None) == is_answer
     assert done.coverage.n_shards_covered == n_covered
     assert done.coverage.n_shards_total == N_SHARDS
-    assert len(done.parts) == N_SHARDS - N_MEMBERS + 1
+    assert len(done.shard_replies) == N_SHARDS - N_MEMBERS + 1
 
 
 # (case, failure of the peer, calls that follow at once or by the timer, peer's or not)
@@ -114,7 +120,7 @@
         assert again == []
         done = answer_all(fan_out, single, 20.0) or completion_of(actions)
         assert done.failure.kind is COVERAGE_BELOW_FLOOR
-        assert done.run is not RunState.NO
+        assert done.run_state is not RunState.NO
     else:
         assert [item.shard_set for item in again] == [call.shard_set]
         assert again[0].replica != call.replica
@@ -176,5 +182,5 @@
     fan_out = make_with_set()
     replica = fan_out.partition_map.shards[0].replicas[0]
     fan_out.context.quarantine.record_loss("f", replica, "s0", 0.0, 0.0)
-    fan_out.handle(Begin(1.0))
+    fan_out.handle(QueryStarted(1.0))
     assert all(not item.shard.members for item in fan_out.shards.values())
--- a/chestnuthall/core/fanout/tests/test_stragglers.py
+++ b/chestnuthall/core/fanout/tests/test_stragglers.py
@@ -5,13 +5,13 @@
 import pytest
 
 from chestnuthall.core.fanout import (
-    Begin,
     CallAnswered,
     CallFailed,
     Cancel,
     MapReplaced,
+    PeersNotified,
+    QueryStarted,
     TimerFired,
-    Warned,
 )
 from chestnuthall.core.fanout.tests.test_machine import (
     DEADLINE_MS,
@@ -30,7 +30,7 @@
 def begin(n_shards=1, n_replicas=3, credit=5.0, **options):
     fan_out = make_fan_out(partition_map=make_map(n_shards, n_replicas), **options)
     fan_out.context.budget._credit = credit
-    return fan_out, calls_of(fan_out.handle(Begin(0.0)))
+    return fan_out, calls_of(fan_out.handle(QueryStarted(0.0)))
 
 
 def occupy(router, replicas, n_calls):
@@ -142,7 +142,7 @@
     router = fan_out.context.router
     # The last replica is chosen only to leave the zone of the others.
     occupy(router, replicas[2:], 2)
-    (call,) = calls_of(fan_out.handle(Begin(0.0)))
+    (call,) = calls_of(fan_out.handle(QueryStarted(0.0)))
     fan_out.handle(CallFailed(1.0, call.call_id, CONNECTION_LOST.because("x")))
-    (probe,) = calls_of(fan_out.handle(Warned(2.0)))
+    (probe,) = calls_of(fan_out.handle(PeersNotified(2.0)))
     assert probe.replica.name == replicas[2].name
--- a/chestnuthall/core/model/_answers.py
+++ b/chestnuthall/core/model/_answers.py
@@ -112,7 +112,7 @@
 class Answer:
     """A successful answer to a caller.
 
-    For a relayed request ``reply`` is what the caller gets, and ``parts`` are
+    For a relayed request ``reply`` is what the caller gets, and ``replica_replies`` are
     the replicas' replies that it was made of.
     """
 
@@ -124,21 +124,21 @@
     configuration_revision: int
     account: Account
     reply: Reply | None = None
-    parts: tuple[Reply, ...] = ()
+    replica_replies: tuple[Reply, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
     """A request that ends without an answer.
 
-    ``run`` and ``repeat`` hold for this request and may be narrower than
+    ``run_state`` and ``repeat`` hold for this request and may be narrower than
     those of the failure's kind. ``reply`` is the replica's own error, which is
     passed on to the caller of a relayed request.
     """
 
     request_id: str
     failure: Failure
-    run: RunState
+    run_state: RunState
     repeat: Repeat
     configuration_revision: int
     account: Account
--- a/chestnuthall/daemon/tests/test_mutations_on_store.py
+++ b/chestnuthall/daemon/tests/test_mutations_on_store.py
@@ -140,7 +140,7 @@
         world = MutationWorld()
         outcome = await refuse(world)
         if outcome is not None:
-            assert (outcome.run, outcome.repeat) == (RunState.NO, Repeat.NEW_KEY)
+            assert (outcome.run_state, outcome.repeat) == (RunState.NO, Repeat.NEW_KEY)
         await asyncio.sleep(0.1)
         again = await world.send(1, "again")
         await asyncio.sleep(2.0)
@@ -175,7 +175,7 @@
     outcomes, run_names = run_virtual(scenario())
     assert len(run_names) == 1
     for name, outcome in outcomes.items():
-        if isinstance(outcome, Answer) or outcome.run is RunState.YES:
+        if isinstance(outcome, Answer) or outcome.run_state is RunState.YES:
             assert name in run_names
-        elif outcome.run is RunState.NO:
+        elif outcome.run_state is RunState.NO:
             assert name not in run_names
--- a/chestnuthall/platform/_frontend.py
+++ b/chestnuthall/platform/_frontend.py
@@ -114,9 +114,9 @@
 def _(outcome: Answer) -> HttpResponse:
     reply = outcome.reply
     assert reply is not None
-    if len(outcome.parts) == 1 and outcome.parts[0] is reply:
+    if len(outcome.replica_replies) == 1 and outcome.replica_replies[0] is reply:
         return _pass_on(reply)
-    signatures = [_signatures_of(part) for part in outcome.parts]
+    signatures = [_signatures_of(part) for part in outcome.replica_replies]
     n_missing = outcome.coverage.n_shards_total - outcome.coverage.n_shards_covered
     headers = {
         b"content-type": b"application/octet-stream",
@@ -132,7 +132,7 @@
     if outcome.reply is not None:
         return _pass_on(outcome.reply)
     status = outcome.failure.kind.http_status
-    if outcome.run is RunState.NO:
+    if outcome.run_state is RunState.NO:
         status = TOO_MANY_STATUS if status == TOO_MANY_STATUS else NOT_RUN_STATUS
     elif status not in GATEWAY_STATUSES:
         status = GATEWAY_STATUSES[0]
--- a/chestnuthall/services/_decision_log.py
+++ b/chestnuthall/services/_decision_log.py
@@ -140,7 +140,7 @@
             _log.info("request answered", extra=fields)
             return
         fields["reason"] = outcome.failure.reason
-        fields["run"] = outcome.run.value
+        fields["run"] = outcome.run_state.value
         fields["retry_after_ms"] = outcome.retry_after_ms
         _log.info("request refused", extra=fields)
 
--- a/chestnuthall/services/_directory.py
+++ b/chestnuthall/services/_directory.py
@@ -132,14 +132,14 @@
         )
 
     async def pin_another(
-        self, group_name: str, gone: tuple[int, ...]
+        self, group_name: str, unavailable_snapshot_ids: tuple[int, ...]
     ) -> PartitionMap | None:
         """Return a map of a snapshot that is not gone, asking upstreams if needed."""
-        known = self.pin(group_name, gone)
-        if known is not None and known.snapshot_id > max(gone):
+        known = self.pin(group_name, unavailable_snapshot_ids)
+        if known is not None and known.snapshot_id > max(unavailable_snapshot_ids):
             return known
         await self._ask_upstreams(group_name)
-        return self.pin(group_name, gone)
+        return self.pin(group_name, unavailable_snapshot_ids)
 
     async def _ask_upstreams(self, group_name: str) -> None:
         catalog = self._catalogs[group_name]
--- a/chestnuthall/services/_fan_out_run.py
+++ b/chestnuthall/services/_fan_out_run.py
@@ -7,7 +7,6 @@
 
 from chestnuthall.core.fanout import (
     Action,
-    Begin,
     CallAnswered,
     CallFailed,
     Cancel,
@@ -17,12 +16,13 @@
     Event,
     FanOut,
     MapReplaced,
+    NotifyPeers,
+    PeersNotified,
+    QueryStarted,
     Replan,
     SetTimer,
     TimerFired,
-    VerdictGiven,
-    Warn,
-    Warned,
+    VerdictReached,
 )
 from chestnuthall.core.model import PartitionMap, ShardAnswer, ShardCall
 from chestnuthall.core.results import Failure
@@ -36,7 +36,7 @@
     """Where another map comes from when the pinned snapshot goes away."""
 
     async def pin_another(
-        self, group_name: str, gone: tuple[int, ...]
+        self, group_name: str, unavailable_snapshot_ids: tuple[int, ...]
     ) -> PartitionMap | None:
         """Return a map of a snapshot that is not gone, or None."""
         ...
@@ -46,7 +46,7 @@
     """Keeps a part of a divided search on the snapshot of the whole."""
 
     async def pin_another(
-        self, group_name: str, gone: tuple[int, ...]
+        self, group_name: str, unavailable_snapshot_ids: tuple[int, ...]
     ) -> PartitionMap | None:
         """Return None."""
         return None
@@ -90,7 +90,7 @@
         fingerprint = self._fan_out.request.fingerprint
         self._suspects.add_waiter(fingerprint, self._on_verdict)
         try:
-            self._handle(Begin(self._clock.now_ms()))
+            self._handle(QueryStarted(self._clock.now_ms()))
             return await self._done
         finally:
             self._suspects.remove_waiter(fingerprint, self._on_verdict)
@@ -102,7 +102,7 @@
         for task in self._waits:
             task.cancel()
         if not self._fan_out.is_complete:
-            self._fan_out.abandon(self._clock.now_ms())
+            self._fan_out.cancel(self._clock.now_ms())
         for cancel in self._calls.values():
             cancel()
 
@@ -147,7 +147,7 @@
         self._waits.append(self._loop.create_task(self._pin_another(action)))
 
     @_perform.register
-    def _(self, action: Warn) -> None:
+    def _(self, action: NotifyPeers) -> None:
         self._waits.append(self._loop.create_task(self._warn()))
 
     @_perform.register
@@ -159,11 +159,11 @@
         self._handle(TimerFired(self._clock.now_ms()))
 
     def _on_verdict(self) -> None:
-        self._handle(VerdictGiven(self._clock.now_ms()))
+        self._handle(VerdictReached(self._clock.now_ms()))
 
     async def _warn(self) -> None:
         await self._suspects.warn_peers()
-        self._handle(Warned(self._clock.now_ms()))
+        self._handle(PeersNotified(self._clock.now_ms()))
 
     async def _call(self, call: ShardCall) -> None:
         started_ms = self._clock.now_ms()
@@ -183,5 +183,7 @@
 
     async def _pin_another(self, action: Replan) -> None:
         group = self._fan_out.request.group
-        another = await self._directory.pin_another(group, action.gone_snapshot_ids)
+        another = await self._directory.pin_another(
+            group, action.unavailable_snapshot_ids
+        )
         self._handle(MapReplaced(self._clock.now_ms(), another))
--- a/chestnuthall/services/_group_directory.py
+++ b/chestnuthall/services/_group_directory.py
@@ -24,7 +24,7 @@
         ...
 
     async def pin_another(
-        self, group_name: str, gone: tuple[int, ...]
+        self, group_name: str, unavailable_snapshot_ids: tuple[int, ...]
     ) -> PartitionMap | None:
         """Return a map of a snapshot that is not gone, or None."""
         ...
--- a/chestnuthall/services/_query.py
+++ b/chestnuthall/services/_query.py
@@ -398,7 +398,7 @@
             configuration_revision=progress.revision,
             account=self._account(progress, code, completion),
             reply=completion.reply,
-            parts=completion.parts,
+            replica_replies=completion.shard_replies,
         )
 
     def _refuse(
@@ -407,12 +407,12 @@
         failure: Failure,
         completion: Completion | None = None,
     ) -> Refusal:
-        run, repeat = _run_and_repeat(progress, failure, completion)
-        may_repeat = run is RunState.NO and repeat is Repeat.SAFE
+        run_state, repeat = _run_and_repeat(progress, failure, completion)
+        may_repeat = run_state is RunState.NO and repeat is Repeat.SAFE
         return Refusal(
             request_id=progress.request.request_id,
             failure=failure,
-            run=run,
+            run_state=run_state,
             repeat=repeat,
             configuration_revision=progress.revision,
             account=self._account(progress, failure.code, completion),
@@ -462,9 +462,13 @@
     A mutation whose key is claimed needs a new key.
     """
     kind = failure.kind
-    run, repeat = kind.run, kind.repeat
+    run_state, repeat = kind.run, kind.repeat
     if completion is not None:
-        run = completion.run
-    if progress.claim is not None and run is RunState.NO and repeat is Repeat.SAFE:
+        run_state = completion.run_state
+    if (
+        progress.claim is not None
+        and run_state is RunState.NO
+        and repeat is Repeat.SAFE
+    ):
         repeat = Repeat.NEW_KEY
-    return run, repeat
+    return run_state, repeat
--- a/chestnuthall/services/_service_directory.py
+++ b/chestnuthall/services/_service_directory.py
@@ -150,7 +150,7 @@
         return partition_map
 
     async def pin_another(
-        self, group_name: str, gone: tuple[int, ...]
+        self, group_name: str, unavailable_snapshot_ids: tuple[int, ...]
     ) -> PartitionMap | None:
         """Return None; these upstreams have no snapshots that go away."""
         return None
--- a/chestnuthall/services/_two_level.py
+++ b/chestnuthall/services/_two_level.py
@@ -9,7 +9,7 @@
     FanOutContext,
     PartialAnswer,
     coverage_of,
-    merge_partials,
+    merge_partial_answers,
 )
 from chestnuthall.core.model import (
     FanOutAccount,
@@ -87,7 +87,7 @@
         ]
         parts = [answer for answer in answers if isinstance(answer, PartialAnswer)]
         snapshot_id = partition_map.snapshot_id
-        whole = merge_partials(parts, snapshot_id, request.n_hits_max)
+        whole = merge_partial_answers(parts, snapshot_id, request.n_hits_max)
         failure = refused[0] if refused else _below_floor(whole, context)
         return Completion(
             failure=failure,
--- a/chestnuthall/services/tests/test_crashing_requests.py
+++ b/chestnuthall/services/tests/test_crashing_requests.py
@@ -95,7 +95,7 @@
         outcomes = await resend_everywhere(fleet, kind, gap_ms)
         assert len(fleet.upstreams.dead) <= n_lost_max
         assert outcomes[-1].failure.kind is QUARANTINED
-        assert outcomes[-1].run.value == "no"
+        assert outcomes[-1].run_state.value == "no"
         other = await fleet.worlds[2].query.serve(fleet.worlds[2].request("lookup", 9))
         assert isinstance(other, Answer)
 
--- a/chestnuthall/services/tests/test_fault_matrix.py
+++ b/chestnuthall/services/tests/test_fault_matrix.py
@@ -84,9 +84,9 @@
                 return found
             return pin(group, excluded)
 
-        async def observed_pin_another(group, gone):
+        async def observed_pin_another(group, unavailable_snapshot_ids):
             self.reach("replanning")
-            return await pin_another(group, gone)
+            return await pin_another(group, unavailable_snapshot_ids)
 
         world.directory.pin = observed_pin
         world.directory.pin_another = observed_pin_another
@@ -145,13 +145,13 @@
     assert took_ms <= 2 * DEADLINE_MS + 5.0
     if isinstance(outcome, Answer):
         check_answer(world, kind, outcome)
-    elif outcome.run is RunState.NO:
+    elif outcome.run_state is RunState.NO:
         assert runs == []
         is_claimed = kind == "mutation" and bool(world.store.objects)
         # A claimed key is used up, so the same request would be refused for ever.
         assert not (is_claimed and outcome.repeat is Repeat.SAFE)
         assert outcome.retry_after_ms is None or outcome.repeat is Repeat.SAFE
-    elif outcome.run is RunState.YES:
+    elif outcome.run_state is RunState.YES:
         assert runs != []
     if kind == "mutation":
         assert len(runs) <= 1
