--- a/benchmarks/_baseline.py
+++ b/benchmarks/_baseline.py
@@ -19,7 +19,7 @@
     Shard,
     ShardAnswer,
     ShardCall,
-    kind_of,
+    request_kind,
 )
 from chestnuthall.core.results import ResultCode
 from chestnuthall.ports import ShardCaller
@@ -84,7 +84,7 @@
             instance=self._instance,
             zone="",
             class_name=request.class_name,
-            kind=kind_of(request),
+            kind=request_kind(request),
             group=request.group,
             arrived_wall_ms=request.arrived_ms,
             admitted_wall_ms=request.arrived_ms,
--- a/chestnuthall/adapters/documents/tests/test_environment.py
+++ b/chestnuthall/adapters/documents/tests/test_environment.py
@@ -114,7 +114,7 @@
 def test_good_document_is_accepted():
     """Guards the defaults, too: the objective never exceeds the deadline."""
     document = check_environment(GOOD)
-    assert document.class_named("clerk").objective.latency_ms == 900.0
+    assert document.find_class("clerk").objective.latency_ms == 900.0
 
 
 @pytest.mark.parametrize(
--- a/chestnuthall/core/accounts/_explain.py
+++ b/chestnuthall/core/accounts/_explain.py
@@ -198,7 +198,7 @@
     document: EnvironmentDocument,
 ) -> Verdict:
     if rule is AdmissionRule.RESERVED_CAPACITY:
-        group = document.group_named(first.group)
+        group = document.find_group(first.group)
         reserved = dict(group.reserved_ratios) if group is not None else {}
         has_capacity = reserved.get(first.kind, 0.0) > 0.0
         return Verdict.RIGHT if has_capacity else Verdict.WRONG
--- a/chestnuthall/core/accounts/_order.py
+++ b/chestnuthall/core/accounts/_order.py
@@ -62,8 +62,8 @@
 
 
 def _by_urgency(a: Account, b: Account, document: EnvironmentDocument) -> ExpectedOrder:
-    class_a = document.class_named(a.class_name)
-    class_b = document.class_named(b.class_name)
+    class_a = document.find_class(a.class_name)
+    class_b = document.find_class(b.class_name)
     rule = AdmissionRule.URGENCY_WITHIN_SHARE
     if class_a is None or class_b is None:
         because = "the document no longer has both classes"
--- a/chestnuthall/core/fanout/_handlers.py
+++ b/chestnuthall/core/fanout/_handlers.py
@@ -183,7 +183,7 @@
 ) -> None:
     context = state.context
     # A peer that ends is no sign of a request that crashes replicas.
-    is_lost = failure.kind is CONNECTION_LOST and not progress.shard.members
+    is_lost = failure.kind is CONNECTION_LOST and not progress.shard.shards
     is_attributed_to_request = is_lost and state.is_suspected(now_ms)
     if is_lost:
         progress.has_lost = True
@@ -214,7 +214,7 @@
         return False
     # A peer that may have begun a set has called replicas, which count against the
     # bound of the request.
-    is_repeatable = is_idempotent(request) and not progress.shard.members
+    is_repeatable = is_idempotent(request) and not progress.shard.shards
     if not is_repeatable and failure.kind not in NOT_STARTED_KINDS:
         return False
     return not state.is_quarantined(now_ms)
@@ -226,7 +226,7 @@
     # A call of which nothing was written, or that a replica refused for its
     # snapshot, put no work on any upstream; only other retries are extra load.
     is_free = failure.kind in NOT_SENT_KINDS or failure.kind is SNAPSHOT_GONE
-    is_free = is_free or bool(progress.shard.members)
+    is_free = is_free or bool(progress.shard.shards)
     # An upstream that sheds has no room, so its calls wait for earned credit.
     may_overdraw = failure.kind is not SHED_BY_UPSTREAM
     budget = state.context.budget
--- a/chestnuthall/core/fanout/_hedges.py
+++ b/chestnuthall/core/fanout/_hedges.py
@@ -67,7 +67,7 @@
         progress.answer is None
         and not progress.is_hedged
         and len(progress.shard.replicas) > 1
-        and not progress.shard.members
+        and not progress.shard.shards
     )
 
 
--- a/chestnuthall/core/fanout/_merge.py
+++ b/chestnuthall/core/fanout/_merge.py
@@ -95,14 +95,14 @@
         n_searched = 0 if answer is None else answer.n_documents_searched
         n_covered += min(n_searched, shard.n_documents)
         if answer is not None and n_searched >= shard.n_documents:
-            n_full += max(1, len(shard.members))
+            n_full += max(1, len(shard.shards))
         else:
-            n_full += min(n_searched, len(shard.members))
+            n_full += min(n_searched, len(shard.shards))
             missing.append(shard.key_range)
     return Coverage(
         n_documents_covered=n_covered,
         n_documents_total=sum(shard.n_documents for shard in shards),
         n_shards_covered=n_full,
-        n_shards_total=sum(max(1, len(shard.members)) for shard in shards),
+        n_shards_total=sum(max(1, len(shard.shards)) for shard in shards),
         missing_ranges=tuple(missing),
     )
--- a/chestnuthall/core/fanout/_state.py
+++ b/chestnuthall/core/fanout/_state.py
@@ -135,13 +135,13 @@
         return [
             shard_id
             for shard_id, progress in self.shards.items()
-            if not progress.shard.members
+            if not progress.shard.shards
         ]
 
     def call_type_of(self, progress: ShardProgress) -> str:
         """Return the kind of call that a shard needs; a set takes longer."""
         call_type = self.context.call_type
-        return f"{call_type} set" if progress.shard.members else call_type
+        return f"{call_type} set" if progress.shard.shards else call_type
 
     @property
     def is_settled(self) -> bool:
@@ -163,7 +163,7 @@
     def try_dispatch(self, progress: ShardProgress, now_ms: float) -> list[Action]:
         """Start a call of a shard, or give the shard up if nothing can run it."""
         progress.retry_at_ms = None
-        if progress.shard.members:
+        if progress.shard.shards:
             return self._dispatch_set(progress, now_ms)
         replica = self._choose(progress, now_ms)
         if replica is None and progress.tried_names and is_idempotent(self.request):
@@ -189,7 +189,7 @@
         """Put the members of a set in its place; no replica of theirs was called."""
         del self.shards[progress.shard.shard_id]
         self._unsettled.remove(progress)
-        members = [ShardProgress(shard) for shard in progress.shard.members]
+        members = [ShardProgress(shard) for shard in progress.shard.shards]
         self.shards |= {item.shard.shard_id: item for item in members}
         self._unsettled += members
         context = self.context
@@ -210,13 +210,13 @@
         )
 
     def _shard_set(self, shard: Shard) -> ShardSet | None:
-        if not shard.members:
+        if not shard.shards:
             return None
         floor = self.context.caller_class.coverage_floor_ratio
         n_total = len(self.partition_map.shards)
         # Binary fractions put a product such as 0.1 * 30 just below its integer.
         n_missing_max = int((1.0 - floor) * n_total + 1e-9)
-        shard_ids = tuple(item.shard_id for item in shard.members)
+        shard_ids = tuple(item.shard_id for item in shard.shards)
         return ShardSet(shard_ids, n_missing_max)
 
     def start(
--- a/chestnuthall/core/fanout/tests/test_shard_sets.py
+++ b/chestnuthall/core/fanout/tests/test_shard_sets.py
@@ -183,4 +183,4 @@
     replica = fan_out.partition_map.shards[0].replicas[0]
     fan_out.context.quarantine.record_loss("f", replica, "s0", 0.0, 0.0)
     fan_out.handle(QueryStarted(1.0))
-    assert all(not item.shard.members for item in fan_out.shards.values())
+    assert all(not item.shard.shards for item in fan_out.shards.values())
--- a/chestnuthall/core/model/__init__.py
+++ b/chestnuthall/core/model/__init__.py
@@ -46,14 +46,14 @@
     ScatterRequest,
     SearchRequest,
     is_idempotent,
-    kind_of,
+    request_kind,
 )
 from chestnuthall.core.model._routes import (
     MergeRule,
     Route,
     RouteTable,
     Target,
-    WeightedSplit,
+    WeightedRoundRobin,
 )
 
 __all__ = [
@@ -94,8 +94,8 @@
     "ShardSet",
     "Target",
     "UpstreamGroup",
-    "WeightedSplit",
+    "WeightedRoundRobin",
     "is_idempotent",
-    "kind_of",
+    "request_kind",
     "reachable_ratio",
 ]
--- a/chestnuthall/core/model/_environment.py
+++ b/chestnuthall/core/model/_environment.py
@@ -73,11 +73,11 @@
     extra_load: ExtraLoadPolicy = field(default_factory=ExtraLoadPolicy)
     routes: RouteTable = field(default_factory=RouteTable)
 
-    def class_named(self, name: str) -> CallerClass | None:
+    def find_class(self, name: str) -> CallerClass | None:
         """Return the class of that name, or None."""
         return next((item for item in self.classes if item.name == name), None)
 
-    def group_named(self, name: str) -> UpstreamGroup | None:
+    def find_group(self, name: str) -> UpstreamGroup | None:
         """Return the upstream group of that name, or None."""
         return next((item for item in self.groups if item.name == name), None)
 
--- a/chestnuthall/core/model/_partition_map.py
+++ b/chestnuthall/core/model/_partition_map.py
@@ -44,7 +44,7 @@
 class Shard:
     """One part of an index with the replicas that serve it.
 
-    A set of shards has them as its ``members``; its replicas are instances that
+    A set of shards has them as its ``shards``; its replicas are instances that
     answer for all of them.
     """
 
@@ -52,7 +52,7 @@
     key_range: KeyRange
     n_documents: int
     replicas: tuple[Replica, ...]
-    members: tuple["Shard", ...] = ()
+    shards: tuple["Shard", ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
--- a/chestnuthall/core/model/_requests.py
+++ b/chestnuthall/core/model/_requests.py
@@ -88,32 +88,32 @@
 
 
 @singledispatch
-def kind_of(request: Request) -> str:
+def request_kind(request: Request) -> str:
     """Return the name of the request's kind: search, lookup or mutation."""
     raise TypeError(f"not a request: {type(request).__name__}")
 
 
-@kind_of.register
+@request_kind.register
 def _(request: SearchRequest) -> str:
     return "search"
 
 
-@kind_of.register
+@request_kind.register
 def _(request: LookupRequest) -> str:
     return "lookup"
 
 
-@kind_of.register
+@request_kind.register
 def _(request: MutationRequest) -> str:
     return "mutation"
 
 
-@kind_of.register
+@request_kind.register
 def _(request: ForwardRequest) -> str:
     return "forward"
 
 
-@kind_of.register
+@request_kind.register
 def _(request: ScatterRequest) -> str:
     return "scatter"
 
--- a/chestnuthall/core/model/_routes.py
+++ b/chestnuthall/core/model/_routes.py
@@ -81,7 +81,7 @@
         return None
 
 
-class WeightedSplit:
+class WeightedRoundRobin:
     """Distributes requests over targets in proportion to their weights.
 
     Smooth weighted round robin: each target earns its weight with every
@@ -89,7 +89,7 @@
 
     Examples
     --------
-    >>> split = WeightedSplit((Target("a", 3.0), Target("b", 1.0)))
+    >>> split = WeightedRoundRobin((Target("a", 3.0), Target("b", 1.0)))
     >>> [split.next().group for _ in range(4)]
     ['a', 'a', 'b', 'a']
     """
--- a/chestnuthall/core/routing/_delegation.py
+++ b/chestnuthall/core/routing/_delegation.py
@@ -59,5 +59,5 @@
         key_range=KeyRange("", ""),
         n_documents=sum(item.n_documents for item in members),
         replicas=peers,
-        members=tuple(members),
+        shards=tuple(members),
     )
--- a/chestnuthall/core/routing/tests/test_delegation.py
+++ b/chestnuthall/core/routing/tests/test_delegation.py
@@ -46,9 +46,9 @@
 
     shards = make_shards(*zones)
     combined = combine_remote_shards(shards, "x", peers_in)
-    sets = [shard for shard in combined if shard.members]
-    single = [shard for shard in combined if not shard.members]
-    assert [m.shard_id for s in sets for m in s.members] == [f"s{i}" for i in members]
+    sets = [shard for shard in combined if shard.shards]
+    single = [shard for shard in combined if not shard.shards]
+    assert [m.shard_id for s in sets for m in s.shards] == [f"s{i}" for i in members]
     assert len(single) + len(members) == len(shards)
     if members:
         assert asked == [frozenset(peer_zones)]
--- a/chestnuthall/platform/tests/test_dialect.py
+++ b/chestnuthall/platform/tests/test_dialect.py
@@ -255,12 +255,12 @@
     assert sweep.is_repeatable
     assert not hold.is_repeatable
     assert [(x.group, x.weight) for x in hold.targets] == [("t1", 3.0), ("t2", 1.0)]
-    assert document.group_named(sweep.targets[0].group).shard_ids == ("s1", "s2")
-    assert document.group_named("t1").shard_ids == ("t1",)
-    caller_class = document.class_named(sweep.class_name)
+    assert document.find_group(sweep.targets[0].group).shard_ids == ("s1", "s2")
+    assert document.find_group("t1").shard_ids == ("t1",)
+    caller_class = document.find_class(sweep.class_name)
     assert caller_class.coverage_floor_ratio == 0.89
     assert caller_class.soft_deadline_ms < 183 < caller_class.deadline_ms
-    assert caller_class.urgency > document.class_named(hold.class_name).urgency
+    assert caller_class.urgency > document.find_class(hold.class_name).urgency
 
 
 def test_the_same_shards_in_another_order_are_the_same_group():
--- a/chestnuthall/services/_admission.py
+++ b/chestnuthall/services/_admission.py
@@ -31,7 +31,7 @@
     ShardAnswer,
     ShardCall,
     UpstreamGroup,
-    kind_of,
+    request_kind,
 )
 from chestnuthall.core.results import SHED_BY_UPSTREAM, Failure
 from chestnuthall.ports import Clock
@@ -217,7 +217,7 @@
                 now_ms,
                 ticket,
                 request.class_name,
-                kind_of(request),
+                request_kind(request),
                 cost,
                 request.deadline_ms,
             )
@@ -317,7 +317,7 @@
         The admission of a removed group stays while queries hold it.
         """
         for name, admission in self.items():
-            group = document.group_named(name)
+            group = document.find_group(name)
             if group is not None:
                 admission.reconfigure(document, group)
             elif not admission.is_in_use:
--- a/chestnuthall/services/_burn.py
+++ b/chestnuthall/services/_burn.py
@@ -121,7 +121,7 @@
         in_force = self._configuration.in_force
         if in_force is None or not counts_for_burn(account.result_code):
             return
-        caller_class = in_force.document.class_named(account.class_name)
+        caller_class = in_force.document.find_class(account.class_name)
         if caller_class is None:
             return
         cause = cause_of(account, caller_class.objective)
--- a/chestnuthall/services/_outcomes.py
+++ b/chestnuthall/services/_outcomes.py
@@ -41,7 +41,7 @@
 
     def _known_class(self, class_name: str) -> str:
         in_force = self._configuration.in_force
-        if in_force is None or in_force.document.class_named(class_name) is None:
+        if in_force is None or in_force.document.find_class(class_name) is None:
             return UNKNOWN_CLASS_NAME
         return class_name
 
--- a/chestnuthall/services/_query.py
+++ b/chestnuthall/services/_query.py
@@ -30,7 +30,7 @@
     SearchRequest,
     Shard,
     UpstreamGroup,
-    kind_of,
+    request_kind,
 )
 from chestnuthall.core.quarantine import QuarantineRegister
 from chestnuthall.core.results import (
@@ -202,9 +202,9 @@
             self._note_abandoned(request)
             raise
         code = _code_of(outcome)
-        self._metrics.count(f"requests.{kind_of(request)}.{code.name.lower()}")
+        self._metrics.count(f"requests.{request_kind(request)}.{code.name.lower()}")
         duration_ms = self._clock.now_ms() - request.arrived_ms
-        self._metrics.timing(f"request_ms.{kind_of(request)}", duration_ms)
+        self._metrics.timing(f"request_ms.{request_kind(request)}", duration_ms)
         if self._record_outcome is not None:
             self._record_outcome(outcome)
         if self._decision_log is not None:
@@ -212,7 +212,7 @@
         return outcome
 
     def _note_abandoned(self, request: Request) -> None:
-        self._metrics.count(f"requests.{kind_of(request)}.abandoned")
+        self._metrics.count(f"requests.{request_kind(request)}.abandoned")
         if self._decision_log is not None:
             self._decision_log.request_abandoned(request)
 
@@ -249,10 +249,10 @@
         configuration = self._configuration.in_force
         if configuration is None:
             return NOT_READY.with_reason("no configuration is in force")
-        caller_class = configuration.document.class_named(request.class_name)
+        caller_class = configuration.document.find_class(request.class_name)
         if caller_class is None:
             return UNKNOWN_CLASS.with_reason(f"no class named {request.class_name!r}")
-        group = configuration.document.group_named(request.group)
+        group = configuration.document.find_group(request.group)
         if group is None:
             return UNKNOWN_GROUP.with_reason(
                 f"no upstream group named {request.group!r}"
@@ -360,8 +360,8 @@
         configuration = self._configuration.in_force
         if configuration is None:
             return NOT_READY.with_reason("no configuration is in force")
-        caller_class = configuration.document.class_named(class_name)
-        group = configuration.document.group_named(group_name)
+        caller_class = configuration.document.find_class(class_name)
+        group = configuration.document.find_group(group_name)
         if caller_class is None or group is None:
             return NOT_READY.with_reason("the class or group is not known here")
         return FanOutContext(
@@ -433,7 +433,7 @@
             instance=self._identity.name,
             zone=self._identity.zone,
             class_name=request.class_name,
-            kind=kind_of(request),
+            kind=request_kind(request),
             group=request.group,
             arrived_wall_ms=progress.arrived_wall_ms,
             admitted_wall_ms=progress.admitted_wall_ms,
--- a/chestnuthall/services/_relay.py
+++ b/chestnuthall/services/_relay.py
@@ -9,7 +9,7 @@
     RelayedRequest,
     Route,
     ScatterRequest,
-    WeightedSplit,
+    WeightedRoundRobin,
     reachable_ratio,
 )
 from chestnuthall.core.results import NOT_FOUND, NOT_READY, Failure
@@ -55,7 +55,7 @@
         self._query = query
         self._directory = directory
         self._configuration = configuration
-        self._splits: dict[str, WeightedSplit] = {}
+        self._splits: dict[str, WeightedRoundRobin] = {}
         self._floors: dict[str, float] = {}
         configuration.on_change(self._forget_splits)
         configuration.on_change(self._note_floors)
@@ -149,7 +149,7 @@
             return route.targets[0].group
         split = self._splits.get(route.name)
         if split is None:
-            split = self._splits[route.name] = WeightedSplit(route.targets)
+            split = self._splits[route.name] = WeightedRoundRobin(route.targets)
         return split.next().group
 
 
--- a/chestnuthall/services/tests/test_fault_matrix.py
+++ b/chestnuthall/services/tests/test_fault_matrix.py
@@ -135,7 +135,7 @@
 
 
 def world_group(world):
-    return world.query._configuration.in_force.document.group_named("g")
+    return world.query._configuration.in_force.document.find_group("g")
 
 
 def check_outcome(world, kind, outcome, took_ms):
