--- a/benchmarks/_fleet.py
+++ b/benchmarks/_fleet.py
@@ -12,7 +12,7 @@
 from chestnuthall.adapters.metrics import NullMetrics
 from chestnuthall.core.claims import LedgerSettings
 from chestnuthall.core.model import Configuration, EnvironmentDocument
-from chestnuthall.core.quarantine import QuarantineRegister, QuarantineSettings
+from chestnuthall.core.quarantine import QuarantineRegistry, QuarantineSettings
 from chestnuthall.core.results import CONFIGURATION_REJECTED, INVALID_REQUEST
 from chestnuthall.core.routing import RouterSettings
 from chestnuthall.ports import InstanceRole, ListEntry, PeerService
@@ -87,7 +87,7 @@
             directory=self.directory,
             configuration=self.configuration,
             ledger=ClaimLedger(store, clock, JsonPartitionCodec(), LedgerSettings()),
-            quarantine=QuarantineRegister(QuarantineSettings()),
+            quarantine=QuarantineRegistry(QuarantineSettings()),
             spread=lambda: self.membership.spread_now(deployment.n_instances),
             n_instances=lambda: self.membership.n_instances,
             admissions=admissions,
--- a/benchmarks/_memory.py
+++ b/benchmarks/_memory.py
@@ -16,7 +16,7 @@
 from chestnuthall.core.admission import AdmissionQueue, Arrive
 from chestnuthall.core.claims import ClaimEntry
 from chestnuthall.core.model import CallerClass, KeyRange, Replica, Shard, ShardAnswer
-from chestnuthall.core.quarantine import QuarantineRegister, QuarantineSettings
+from chestnuthall.core.quarantine import QuarantineRegistry, QuarantineSettings
 from chestnuthall.core.routing import Router, RouterSettings
 
 Figures = dict[str, float]
@@ -95,10 +95,10 @@
 
 
 def _suspicion_bytes(n_items: int) -> float:
-    register = QuarantineRegister(QuarantineSettings(n_fingerprints_max=10**6))
+    registry = QuarantineRegistry(QuarantineSettings(n_fingerprints_max=10**6))
 
     def make(index: int) -> object:
-        register.merge(f"{index:016x}", (f"replica-{index}",), 1e9, 0.0)
+        registry.merge(f"{index:016x}", (f"replica-{index}",), 1e9, 0.0)
         return None
 
     return _bytes_per_item(make, n_items)
--- a/benchmarks/_processor_time.py
+++ b/benchmarks/_processor_time.py
@@ -24,7 +24,7 @@
     SearchRequest,
     ShardCall,
 )
-from chestnuthall.core.quarantine import QuarantineRegister, QuarantineSettings
+from chestnuthall.core.quarantine import QuarantineRegistry, QuarantineSettings
 from chestnuthall.core.results import INVALID_REQUEST
 from chestnuthall.services import (
     Admissions,
@@ -186,7 +186,7 @@
         configuration=keeper,
         admissions=Admissions(clock),
         ledger=ClaimLedger(store, clock, JsonPartitionCodec(), LedgerSettings()),
-        quarantine=QuarantineRegister(QuarantineSettings()),
+        quarantine=QuarantineRegistry(QuarantineSettings()),
     )
     directory.add_map(partition_map)
     keeper.offer(
--- a/chestnuthall/core/drains/__init__.py
+++ b/chestnuthall/core/drains/__init__.py
@@ -1,30 +1,30 @@
 """Replicas that take no new calls, and how that news ages."""
 
 from chestnuthall.core.drains._events import (
-    CameBack,
+    DisseminateNotices,
     DrainAction,
+    DrainDetected,
+    DrainEndDetected,
     DrainEvent,
     DrainSignal,
     Notice,
     NoticesReceived,
     ResumeCalls,
-    Signalled,
-    SpreadNews,
     StopCalls,
 )
-from chestnuthall.core.drains._register import DrainRegister, DrainSettings
+from chestnuthall.core.drains._registry import DrainRegistry, DrainSettings
 
 __all__ = [
-    "CameBack",
+    "DrainEndDetected",
     "DrainAction",
     "DrainEvent",
-    "DrainRegister",
+    "DrainRegistry",
     "DrainSettings",
     "DrainSignal",
     "Notice",
     "NoticesReceived",
     "ResumeCalls",
-    "Signalled",
-    "SpreadNews",
+    "DrainDetected",
+    "DisseminateNotices",
     "StopCalls",
 ]
--- a/chestnuthall/core/drains/_events.py
+++ b/chestnuthall/core/drains/_events.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Signalled(DrainEvent):
+class DrainDetected(DrainEvent):
     """This instance itself saw that a replica leaves."""
 
     wall_ms: float
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CameBack(DrainEvent):
+class DrainEndDetected(DrainEvent):
     """This instance itself saw that a replica takes calls again.
 
     ``observed_ms`` is the earliest time that the observation can stand for,
@@ -87,5 +87,5 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SpreadNews(DrainAction):
+class DisseminateNotices(DrainAction):
     """Tell some peers at once, without waiting for the next probe."""
--- a/chestnuthall/core/drains/_register.py
+++ b/chestnuthall/core/drains/_registry.py
@@ -6,15 +6,15 @@
 from random import Random
 
 from chestnuthall.core.drains._events import (
-    CameBack,
+    DisseminateNotices,
     DrainAction,
+    DrainDetected,
+    DrainEndDetected,
     DrainEvent,
     DrainSignal,
     Notice,
     NoticesReceived,
     ResumeCalls,
-    Signalled,
-    SpreadNews,
     StopCalls,
 )
 
@@ -67,7 +67,7 @@
     is_in_health: bool = False
 
 
-class DrainRegister:
+class DrainRegistry:
     """Takes signals and notices, and decides which replicas are not called.
 
     A notice keeps the expiry that it had when it was first heard of, so that
@@ -92,7 +92,7 @@
         raise TypeError(f"not a drain event: {type(event).__name__}")
 
     @_on.register
-    def _(self, event: Signalled) -> list[DrainAction]:
+    def _(self, event: DrainDetected) -> list[DrainAction]:
         lifetime_ms = self._settings.lifetimes_ms[event.signal]
         record = self._records.get(event.replica_name)
         is_in_health = event.signal is DrainSignal.HEALTH
@@ -115,10 +115,10 @@
         )
         stop = StopCalls(event.replica_name, expires_ms)
         # A renewal is not urgent: every instance still holds the old notice.
-        return [stop] if was_held else [stop, SpreadNews()]
+        return [stop] if was_held else [stop, DisseminateNotices()]
 
     @_on.register
-    def _(self, event: CameBack) -> list[DrainAction]:
+    def _(self, event: DrainEndDetected) -> list[DrainAction]:
         record = self._records.get(event.replica_name)
         if record is None or self._is_ended(record, event.now_ms):
             return []
@@ -145,7 +145,7 @@
         for notice in event.notices:
             actions += self._take_in(notice, event.now_ms)
         if any(isinstance(action, StopCalls) for action in actions):
-            actions.append(SpreadNews())
+            actions.append(DisseminateNotices())
         return actions
 
     def _take_in(self, notice: Notice, now_ms: float) -> list[DrainAction]:
@@ -181,7 +181,7 @@
         while len(self._records) >= self._settings.n_records_max:
             del self._records[next(iter(self._records))]
 
-    def take_notices(self, now_ms: float) -> tuple[Notice, ...]:
+    def select_notices(self, now_ms: float) -> tuple[Notice, ...]:
         """Return the notices for one message, counted as sent once more."""
         settings = self._settings
         pending = [
@@ -205,7 +205,7 @@
             record.expires_ms - now_ms,
         )
 
-    def active(self, now_ms: float) -> tuple[Notice, ...]:
+    def active_drains(self, now_ms: float) -> tuple[Notice, ...]:
         """Return the drains that hold now."""
         return tuple(
             self._notice(name, now_ms)
--- a/chestnuthall/core/drains/tests/test_register.py
+++ b/chestnuthall/core/drains/tests/test_registry.py
@@ -12,14 +12,14 @@
 )
 
 from chestnuthall.core.drains import (
-    CameBack,
-    DrainRegister,
+    DisseminateNotices,
+    DrainDetected,
+    DrainEndDetected,
+    DrainRegistry,
     DrainSettings,
     DrainSignal,
     NoticesReceived,
     ResumeCalls,
-    Signalled,
-    SpreadNews,
     StopCalls,
 )
 
@@ -39,26 +39,26 @@
     def start(self):
         self.now_ms = 0.0
         bounds = DrainSettings(n_transmissions_max=10_000)
-        self.registers = [
-            DrainRegister(bounds, f"entry-{index}") for index in range(N_INSTANCES)
+        self.registries = [
+            DrainRegistry(bounds, f"entry-{index}") for index in range(N_INSTANCES)
         ]
         self.last_signal_ms = dict.fromkeys(REPLICAS, float("-inf"))
         self.in_flight = []
 
     @rule(index=instances, name=replicas, signal=st.sampled_from([HEALTH, LIST]))
     def signal(self, index, name, signal):
-        self.registers[index].handle(Signalled(self.now_ms, 1e12, name, signal))
+        self.registries[index].handle(DrainDetected(self.now_ms, 1e12, name, signal))
         self.last_signal_ms[name] = self.now_ms
 
     @rule(index=instances, name=replicas, signal=st.sampled_from([HEALTH, LIST]))
     def come_back(self, index, name, signal):
-        self.registers[index].handle(
-            CameBack(self.now_ms, 1e12, name, signal, self.now_ms)
+        self.registries[index].handle(
+            DrainEndDetected(self.now_ms, 1e12, name, signal, self.now_ms)
         )
 
     @rule(index=instances)
     def send(self, index):
-        notices = self.registers[index].take_notices(self.now_ms)
+        notices = self.registries[index].select_notices(self.now_ms)
         assert len(notices) <= DrainSettings().n_notices_max
         self.in_flight.append((self.now_ms, notices))
 
@@ -68,7 +68,7 @@
         position = data.draw(st.integers(0, len(self.in_flight) - 1))
         sent_ms, notices = self.in_flight.pop(position)
         if self.now_ms - sent_ms <= DELAY_MAX_MS:
-            self.registers[index].handle(NoticesReceived(self.now_ms, notices))
+            self.registries[index].handle(NoticesReceived(self.now_ms, notices))
 
     @rule(duration_ms=st.sampled_from([10.0, 250.0, 499.0, 5_000.0, 14_000.0]))
     def advance(self, duration_ms):
@@ -77,8 +77,8 @@
     @invariant()
     def no_drain_outlives_its_last_signal(self):
         drift_ms = N_INSTANCES * DELAY_MAX_MS
-        for register in self.registers:
-            for notice in register.active(self.now_ms):
+        for registry in self.registries:
+            for notice in registry.active_drains(self.now_ms):
                 ends_ms = self.now_ms + notice.remaining_ms
                 signalled_ms = self.last_signal_ms[notice.replica_name]
                 assert ends_ms <= signalled_ms + LIFETIME_MS + drift_ms
@@ -88,22 +88,22 @@
         if not hasattr(self, "registers"):
             return
         for _ in range(2):
-            for one in self.registers:
-                for other in self.registers:
-                    notices = one.take_notices(self.now_ms)
+            for one in self.registries:
+                for other in self.registries:
+                    notices = one.select_notices(self.now_ms)
                     other.handle(NoticesReceived(self.now_ms, notices))
         least_ms = DrainSettings().remaining_min_ms + N_INSTANCES * DELAY_MAX_MS
         views = [
             {
                 notice.replica_name
-                for notice in register.active(self.now_ms)
+                for notice in registry.active_drains(self.now_ms)
                 if notice.remaining_ms > least_ms
             }
-            for register in self.registers
+            for registry in self.registries
         ]
         held = [
-            {notice.replica_name for notice in register.active(self.now_ms)}
-            for register in self.registers
+            {notice.replica_name for notice in registry.active_drains(self.now_ms)}
+            for registry in self.registries
         ]
         assert set().union(*views) <= set.intersection(*held)
 
@@ -128,31 +128,31 @@
 )
 def test_who_may_end_a_drain(started_by, back_by, is_back):
     """A healthy answer must not undo a drain that the replica does not know of."""
-    register = DrainRegister()
-    register.handle(Signalled(0.0, 1e12, "r", started_by))
-    actions = register.handle(CameBack(100.0, 1e12, "r", back_by, 50.0))
+    registry = DrainRegistry()
+    registry.handle(DrainDetected(0.0, 1e12, "r", started_by))
+    actions = registry.handle(DrainEndDetected(100.0, 1e12, "r", back_by, 50.0))
     assert (ResumeCalls("r") in actions) is is_back
-    assert (not register.active(100.0)) is is_back
+    assert (not registry.active_drains(100.0)) is is_back
 
 
 @pytest.mark.parametrize(("shown_in_health", "is_back"), [(False, False), (True, True)])
 def test_lagging_health_does_not_end_a_drain(shown_in_health, is_back):
     """A health endpoint that still shows the time before must not bring calls."""
-    register = DrainRegister()
-    register.handle(Signalled(0.0, 1e12, "r", DrainSignal.ANSWER))
+    registry = DrainRegistry()
+    registry.handle(DrainDetected(0.0, 1e12, "r", DrainSignal.ANSWER))
     if shown_in_health:
-        register.handle(Signalled(1_000.0, 1e12, "r", HEALTH))
-    actions = register.handle(CameBack(2_000.0, 1e12, "r", HEALTH, 1_900.0))
+        registry.handle(DrainDetected(1_000.0, 1e12, "r", HEALTH))
+    actions = registry.handle(DrainEndDetected(2_000.0, 1e12, "r", HEALTH, 1_900.0))
     assert (ResumeCalls("r") in actions) is is_back
 
 
 def test_only_the_first_notice_is_urgent():
     """Repeated signals of one drain must not flood the fleet."""
-    register = DrainRegister()
-    first = register.handle(Signalled(0.0, 1e12, "r", HEALTH))
-    again = register.handle(Signalled(5_000.0, 1e12, "r", HEALTH))
-    renewed = register.handle(Signalled(16_000.0, 1e12, "r", HEALTH))
-    assert first == [StopCalls("r", 30_000.0), SpreadNews()]
+    registry = DrainRegistry()
+    first = registry.handle(DrainDetected(0.0, 1e12, "r", HEALTH))
+    again = registry.handle(DrainDetected(5_000.0, 1e12, "r", HEALTH))
+    renewed = registry.handle(DrainDetected(16_000.0, 1e12, "r", HEALTH))
+    assert first == [StopCalls("r", 30_000.0), DisseminateNotices()]
     assert again == []
     assert renewed == [StopCalls("r", 46_000.0)]
 
@@ -161,23 +161,23 @@
 def test_slow_echoes_do_not_keep_a_drain_alive(n_instances):
     """A ring that passes news on as late as a message can be must fall silent."""
     unbounded = DrainSettings(n_transmissions_max=10_000)
-    registers = [DrainRegister(unbounded) for _ in range(n_instances)]
-    registers[0].handle(Signalled(0.0, 1e12, "r", HEALTH))
+    registries = [DrainRegistry(unbounded) for _ in range(n_instances)]
+    registries[0].handle(DrainDetected(0.0, 1e12, "r", HEALTH))
     now_ms, index = 0.0, 0
     while now_ms < 120_000.0:
-        notices = registers[index].take_notices(now_ms)
+        notices = registries[index].select_notices(now_ms)
         assert all(notice.remaining_ms >= 1_000.0 for notice in notices)
         now_ms += 430.0
         index = (index + 1) % n_instances
-        registers[index].handle(NoticesReceived(now_ms, notices))
+        registries[index].handle(NoticesReceived(now_ms, notices))
         if now_ms > LIFETIME_MS + n_instances * DELAY_MAX_MS:
-            assert not any(register.active(now_ms) for register in registers)
+            assert not any(registry.active_drains(now_ms) for registry in registries)
 
 
 @pytest.mark.parametrize(("began_ms", "is_ended"), [(900.0, False), (1_100.0, True)])
 def test_check_that_began_before_the_drain_does_not_end_it(began_ms, is_ended):
     """A slow healthy answer must not undo a drain that was signalled meanwhile."""
-    register = DrainRegister()
-    register.handle(Signalled(1_000.0, 1e12, "r", HEALTH))
-    register.handle(CameBack(1_200.0, 1e12, "r", HEALTH, began_ms))
-    assert (not register.active(1_200.0)) is is_ended
+    registry = DrainRegistry()
+    registry.handle(DrainDetected(1_000.0, 1e12, "r", HEALTH))
+    registry.handle(DrainEndDetected(1_200.0, 1e12, "r", HEALTH, began_ms))
+    assert (not registry.active_drains(1_200.0)) is is_ended
--- a/chestnuthall/core/fanout/_machine.py
+++ b/chestnuthall/core/fanout/_machine.py
@@ -56,7 +56,7 @@
         actions = self.cancel_all(now_ms)
         self.is_complete = True
         request = self.request
-        self.context.quarantine.release_hold(
+        self.context.quarantine.release_probe(
             request.fingerprint, request.request_id, now_ms
         )
         return actions
@@ -102,7 +102,9 @@
         if self.is_replanning:
             return due_ms
         if held_shards(self):
-            held_ms = self.context.quarantine.held_until_ms(self.request.fingerprint)
+            held_ms = self.context.quarantine.probe_reserved_until_ms(
+                self.request.fingerprint
+            )
             due_ms = min(due_ms, max(held_ms, now_ms + HELD_CHECK_MS))
         may_hedge = is_idempotent(self.request)
         timing = timing_of(self)
--- a/chestnuthall/core/fanout/_probes.py
+++ b/chestnuthall/core/fanout/_probes.py
@@ -37,7 +37,7 @@
     if state.probe_step is not ProbeStep.NONE:
         return []
     request = state.request
-    if not state.context.quarantine.try_hold(
+    if not state.context.quarantine.try_reserve_probe(
         request.fingerprint, request.request_id, now_ms
     ):
         return []
@@ -77,9 +77,11 @@
     In a zone that is failing the probe would be lost whatever the request does.
     """
     router = state.context.router
-    lost_zones = state.context.quarantine.lost_zones(state.request.fingerprint, now_ms)
+    zones_with_losses = state.context.quarantine.zones_with_losses(
+        state.request.fingerprint, now_ms
+    )
     doubtful = {
-        item.name for item in progress.shard.replicas if item.zone in lost_zones
+        item.name for item in progress.shard.replicas if item.zone in zones_with_losses
     }
     snapshot_id = state.partition_map.snapshot_id
     excluded = progress.tried_names
--- a/chestnuthall/core/fanout/_state.py
+++ b/chestnuthall/core/fanout/_state.py
@@ -23,7 +23,7 @@
     ShardSet,
     is_idempotent,
 )
-from chestnuthall.core.quarantine import QuarantineRegister
+from chestnuthall.core.quarantine import QuarantineRegistry
 from chestnuthall.core.results import (
     CALL_CANCELLED,
     CONNECTION_REFUSED,
@@ -69,7 +69,7 @@
 
     router: Router
     budget: ExtraLoad
-    quarantine: QuarantineRegister
+    quarantine: QuarantineRegistry
     caller_class: CallerClass
     utilisation_ratio: float = 0.0
     # Names the kind of call for the router's latencies; see ``Router``.
--- a/chestnuthall/core/fanout/tests/test_machine.py
+++ b/chestnuthall/core/fanout/tests/test_machine.py
@@ -29,7 +29,7 @@
     Shard,
     ShardAnswer,
 )
-from chestnuthall.core.quarantine import QuarantineRegister, QuarantineSettings
+from chestnuthall.core.quarantine import QuarantineRegistry, QuarantineSettings
 from chestnuthall.core.results import (
     CONNECTION_LOST,
     COVERAGE_BELOW_FLOOR,
@@ -71,7 +71,7 @@
     context = FanOutContext(
         router=Router(RouterSettings(zone="z"), Random(1)),
         budget=ExtraLoadBudget(ExtraLoadPolicy()),
-        quarantine=QuarantineRegister(QuarantineSettings()),
+        quarantine=QuarantineRegistry(QuarantineSettings()),
         caller_class=caller_class,
     )
     return FanOut(request or make_search(), partition_map or make_map(), context)
--- a/chestnuthall/core/fanout/tests/test_relayed.py
+++ b/chestnuthall/core/fanout/tests/test_relayed.py
@@ -25,7 +25,7 @@
     Shard,
     ShardAnswer,
 )
-from chestnuthall.core.quarantine import QuarantineRegister, QuarantineSettings
+from chestnuthall.core.quarantine import QuarantineRegistry, QuarantineSettings
 from chestnuthall.core.results import (
     ANSWER_CUT,
     COVERAGE_BELOW_FLOOR,
@@ -81,7 +81,7 @@
     context = FanOutContext(
         router=Router(RouterSettings(hedge_delay_unknown_ms=60.0), Random(1)),
         budget=budget,
-        quarantine=QuarantineRegister(QuarantineSettings()),
+        quarantine=QuarantineRegistry(QuarantineSettings()),
         caller_class=CallerClass(
             name="c",
             share=1.0,
--- a/chestnuthall/core/quarantine/__init__.py
+++ b/chestnuthall/core/quarantine/__init__.py
@@ -1,10 +1,10 @@
 """Requests that crash the upstreams that run them."""
 
-from chestnuthall.core.quarantine._register import (
-    QuarantineRegister,
+from chestnuthall.core.quarantine._registry import (
+    QuarantineRegistry,
     QuarantineSettings,
     Suspicion,
     SuspicionState,
 )
 
-__all__ = ["QuarantineRegister", "QuarantineSettings", "Suspicion", "SuspicionState"]
+__all__ = ["QuarantineRegistry", "QuarantineSettings", "Suspicion", "SuspicionState"]
--- a/chestnuthall/core/quarantine/_register.py
+++ b/chestnuthall/core/quarantine/_registry.py
@@ -50,25 +50,25 @@
     fingerprint: str
     expires_ms: float
     replica_names: set[str] = field(default_factory=set)
-    lost_zones: set[str] = field(default_factory=set)
+    zones_with_losses: set[str] = field(default_factory=set)
     lost_shards: dict[str, str] = field(default_factory=dict)
     is_quarantined: bool = False
-    is_own: bool = True
+    is_local: bool = True
     holder: str = ""
-    held_until_ms: float = float("-inf")
+    probe_reserved_until_ms: float = float("-inf")
 
 
 @dataclass(frozen=True, slots=True)
 class _Cleared:
     cleared_ms: float
     n_cleared: int
-    is_own: bool
+    is_local: bool
 
 
 Listener = Callable[[str, SuspicionState, bool], None]
 
 
-class QuarantineRegister:
+class QuarantineRegistry:
     """Suspects, clears and quarantines requests."""
 
     def __init__(self, settings: QuarantineSettings) -> None:
@@ -81,9 +81,9 @@
         """Call with the fingerprint, its new state and whether it arose here."""
         self._listeners.append(listener)
 
-    def _notify(self, fingerprint: str, state: SuspicionState, is_own: bool) -> None:
+    def _notify(self, fingerprint: str, state: SuspicionState, is_local: bool) -> None:
         for listener in self._listeners:
-            listener(fingerprint, state, is_own)
+            listener(fingerprint, state, is_local)
 
     def record_loss(
         self,
@@ -105,11 +105,11 @@
             cleared = self._cleared.get(fingerprint)
             if cleared is not None and started_ms < cleared.cleared_ms:
                 return
-            suspicion = self._suspect(fingerprint, replica.name, now_ms, is_own=True)
+            suspicion = self._suspect(fingerprint, replica.name, now_ms, is_local=True)
             self._note_place(suspicion, replica, shard_id)
             if self._n_cleared(fingerprint, now_ms) >= N_CLEARED_MAX:
                 suspicion.replica_names.add("")
-                self._quarantine(suspicion, is_own=True)
+                self._quarantine(suspicion, is_local=True)
             else:
                 self._notify(fingerprint, SuspicionState.SUSPECTED, True)
             return
@@ -120,32 +120,32 @@
             return
         suspicion.replica_names.add(replica.name)
         if len(suspicion.replica_names) >= self._settings.n_replicas_lost_max:
-            self._quarantine(suspicion, is_own=True)
+            self._quarantine(suspicion, is_local=True)
 
     def _note_place(
         self, suspicion: Suspicion, replica: Replica, shard_id: str
     ) -> None:
-        suspicion.lost_zones.add(replica.zone)
+        suspicion.zones_with_losses.add(replica.zone)
         suspicion.lost_shards.setdefault(shard_id, replica.zone)
 
     def _suspect(
-        self, fingerprint: str, replica_name: str, now_ms: float, is_own: bool
+        self, fingerprint: str, replica_name: str, now_ms: float, is_local: bool
     ) -> Suspicion:
         self._forget_expired(now_ms)
         suspicion = Suspicion(
             fingerprint,
             now_ms + self._settings.quarantine_ms,
             {replica_name},
-            is_own=is_own,
+            is_local=is_local,
         )
         self._suspicions[fingerprint] = suspicion
         return suspicion
 
-    def _quarantine(self, suspicion: Suspicion, is_own: bool) -> None:
+    def _quarantine(self, suspicion: Suspicion, is_local: bool) -> None:
         if suspicion.is_quarantined:
             return
         suspicion.is_quarantined = True
-        self._notify(suspicion.fingerprint, SuspicionState.QUARANTINED, is_own)
+        self._notify(suspicion.fingerprint, SuspicionState.QUARANTINED, is_local)
 
     def merge(
         self,
@@ -161,23 +161,23 @@
         """
         names = set(replica_names)
         if expires_ms <= now_ms:
-            self._clear(fingerprint, now_ms, is_own=False)
+            self._clear(fingerprint, now_ms, is_local=False)
             return
         suspicion = self._live(fingerprint, now_ms)
         if len(names) >= self._settings.n_replicas_lost_max:
             if suspicion is None:
-                suspicion = self._suspect(fingerprint, "", now_ms, is_own=False)
+                suspicion = self._suspect(fingerprint, "", now_ms, is_local=False)
                 suspicion.replica_names.clear()
             suspicion.replica_names.update(names)
             suspicion.expires_ms = max(suspicion.expires_ms, expires_ms)
-            self._quarantine(suspicion, is_own=False)
+            self._quarantine(suspicion, is_local=False)
         elif suspicion is None and not self._n_cleared(fingerprint, now_ms):
             suspicion = self._suspect(
-                fingerprint, next(iter(names), ""), now_ms, is_own=False
+                fingerprint, next(iter(names), ""), now_ms, is_local=False
             )
             suspicion.expires_ms = expires_ms
             suspicion.holder = "peer"
-            suspicion.held_until_ms = now_ms + self._settings.hold_ms
+            suspicion.probe_reserved_until_ms = now_ms + self._settings.hold_ms
             self._notify(fingerprint, SuspicionState.SUSPECTED, False)
 
     def _live(self, fingerprint: str, now_ms: float) -> Suspicion | None:
@@ -195,46 +195,48 @@
         """Return whether a request has cost a replica and was not cleared."""
         return self._live(fingerprint, now_ms) is not None
 
-    def lost_zones(self, fingerprint: str, now_ms: float) -> frozenset[str]:
+    def zones_with_losses(self, fingerprint: str, now_ms: float) -> frozenset[str]:
         """Return the zones in which runs of a suspected request lost replicas."""
         suspicion = self._live(fingerprint, now_ms)
-        return frozenset() if suspicion is None else frozenset(suspicion.lost_zones)
+        return (
+            frozenset() if suspicion is None else frozenset(suspicion.zones_with_losses)
+        )
 
-    def try_hold(self, fingerprint: str, holder: str, now_ms: float) -> bool:
+    def try_reserve_probe(self, fingerprint: str, holder: str, now_ms: float) -> bool:
         """Reserve the probe of a suspected request; return whether it is ours."""
         suspicion = self._live(fingerprint, now_ms)
         if suspicion is None or suspicion.is_quarantined:
             return False
-        if suspicion.holder != holder and suspicion.held_until_ms > now_ms:
+        if suspicion.holder != holder and suspicion.probe_reserved_until_ms > now_ms:
             return False
         suspicion.holder = holder
-        suspicion.is_own = True
-        suspicion.held_until_ms = now_ms + self._settings.hold_ms
+        suspicion.is_local = True
+        suspicion.probe_reserved_until_ms = now_ms + self._settings.hold_ms
         return True
 
-    def held_until_ms(self, fingerprint: str) -> float:
+    def probe_reserved_until_ms(self, fingerprint: str) -> float:
         """Return when the reservation of a probe lapses."""
         suspicion = self._suspicions.get(fingerprint)
-        return float("-inf") if suspicion is None else suspicion.held_until_ms
+        return float("-inf") if suspicion is None else suspicion.probe_reserved_until_ms
 
-    def release_hold(self, fingerprint: str, holder: str, now_ms: float) -> None:
+    def release_probe(self, fingerprint: str, holder: str, now_ms: float) -> None:
         """Let another query run the probe."""
         suspicion = self._suspicions.get(fingerprint)
         if suspicion is not None and suspicion.holder == holder:
-            suspicion.held_until_ms = now_ms
+            suspicion.probe_reserved_until_ms = now_ms
 
     def clear(self, fingerprint: str, now_ms: float) -> None:
         """Drop the suspicion of a request whose probe was answered."""
-        self._clear(fingerprint, now_ms, is_own=True)
+        self._clear(fingerprint, now_ms, is_local=True)
 
-    def _clear(self, fingerprint: str, now_ms: float, is_own: bool) -> None:
+    def _clear(self, fingerprint: str, now_ms: float, is_local: bool) -> None:
         suspicion = self._live(fingerprint, now_ms)
         if suspicion is None or suspicion.is_quarantined:
             return
         del self._suspicions[fingerprint]
         n_cleared = self._n_cleared(fingerprint, now_ms) + 1
-        self._cleared[fingerprint] = _Cleared(now_ms, n_cleared, is_own)
-        self._notify(fingerprint, SuspicionState.CLEARED, is_own)
+        self._cleared[fingerprint] = _Cleared(now_ms, n_cleared, is_local)
+        self._notify(fingerprint, SuspicionState.CLEARED, is_local)
 
     def _n_cleared(self, fingerprint: str, now_ms: float) -> int:
         cleared = self._cleared.get(fingerprint)
@@ -260,12 +262,12 @@
         told = [
             item
             for item in self.suspicions(now_ms)
-            if item.is_own or item.is_quarantined
+            if item.is_local or item.is_quarantined
         ]
         told += [
             Suspicion(fingerprint, now_ms, {""})
             for fingerprint, cleared in self._cleared.items()
-            if cleared.is_own and fingerprint not in self._suspicions
+            if cleared.is_local and fingerprint not in self._suspicions
         ]
         return tuple(told)
 
--- a/chestnuthall/core/registry/__init__.py
+++ b/chestnuthall/core/registry/__init__.py
@@ -1,10 +1,10 @@
 """Replicas as they register themselves, and what becomes of each."""
 
-from chestnuthall.core.registry._register import (
-    Change,
-    ChangeKind,
+from chestnuthall.core.registry._registry import (
     Registration,
-    ReplicaRegister,
+    ReplicaChange,
+    ReplicaChangeKind,
+    ReplicaRegistry,
 )
 
-__all__ = ["Change", "ChangeKind", "Registration", "ReplicaRegister"]
+__all__ = ["ReplicaChange", "ReplicaChangeKind", "Registration", "ReplicaRegistry"]
--- a/chestnuthall/core/registry/_register.py
+++ b/chestnuthall/core/registry/_registry.py
@@ -24,22 +24,22 @@
     warm_up_left_ms: float = 0.0
 
 
-class ChangeKind(Enum):
+class ReplicaChangeKind(Enum):
     """What became of a replica."""
 
-    SEEN = "seen"
+    ADDED = "seen"
     RESTARTED = "restarted"
     DRAINING = "draining"
     RESTORED = "restored"
     MISSING = "missing"
-    GONE = "gone"
+    REMOVED = "gone"
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
+class ReplicaChange:
     """One change; ``old`` is the registration that it replaces, if any."""
 
-    kind: ChangeKind
+    kind: ReplicaChangeKind
     new: Registration
     old: Registration | None = None
 
@@ -51,7 +51,7 @@
     draining_since_ms: float | None = None
 
 
-class ReplicaRegister:
+class ReplicaRegistry:
     """The registrations that are in force, by the name of the replica.
 
     A registration that disappears is kept for ``hold_ms``, since registrations
@@ -70,7 +70,7 @@
     def __len__(self) -> int:
         return len(self._entries)
 
-    def put(self, registration: Registration, now_ms: float) -> list[Change]:
+    def put(self, registration: Registration, now_ms: float) -> list[ReplicaChange]:
         """Take in a registration that was read."""
         name = registration.replica.name
         entry = self._entries.get(name)
@@ -80,7 +80,7 @@
             if registration.is_draining:
                 entry.draining_since_ms = now_ms
             self.version += 1
-            return [*replaced, Change(ChangeKind.SEEN, registration)]
+            return [*replaced, ReplicaChange(ReplicaChangeKind.ADDED, registration)]
         old = entry.registration
         if registration.replica.incarnation < old.replica.incarnation:
             return replaced
@@ -92,58 +92,58 @@
             return replaced
         if not registration.is_draining:
             entry.draining_since_ms = None
-        elif entry.draining_since_ms is None or kind is ChangeKind.RESTARTED:
+        elif entry.draining_since_ms is None or kind is ReplicaChangeKind.RESTARTED:
             entry.draining_since_ms = now_ms
         self.version += 1
-        return [*replaced, Change(kind, registration, old)]
+        return [*replaced, ReplicaChange(kind, registration, old)]
 
-    def _drop_earlier_holders(self, replica: Replica) -> list[Change]:
+    def _drop_earlier_holders(self, replica: Replica) -> list[ReplicaChange]:
         """Drop replicas that started earlier at an address that has a new holder."""
         return [
-            self._drop(name)
+            self._remove(name)
             for name, entry in tuple(self._entries.items())
             if entry.registration.replica.address == replica.address
             and name != replica.name
             and entry.registration.replica.incarnation < replica.incarnation
         ]
 
-    def remove(self, name: str, now_ms: float) -> list[Change]:
+    def mark_missing(self, name: str, now_ms: float) -> list[ReplicaChange]:
         """Note that a registration is no longer there."""
         entry = self._entries.get(name)
         if entry is None:
             return []
         if entry.registration.is_draining:
-            return [self._drop(name)]
+            return [self._remove(name)]
         if entry.missing_since_ms is not None:
             return []
         entry.missing_since_ms = now_ms
-        return [Change(ChangeKind.MISSING, entry.registration)]
+        return [ReplicaChange(ReplicaChangeKind.MISSING, entry.registration)]
 
-    def drop(self, name: str) -> list[Change]:
+    def remove(self, name: str) -> list[ReplicaChange]:
         """Forget a replica whose registration can no longer be read."""
-        return [self._drop(name)] if name in self._entries else []
+        return [self._remove(name)] if name in self._entries else []
 
-    def _drop(self, name: str) -> Change:
+    def _remove(self, name: str) -> ReplicaChange:
         entry = self._entries.pop(name)
         self.version += 1
-        return Change(ChangeKind.GONE, entry.registration)
+        return ReplicaChange(ReplicaChangeKind.REMOVED, entry.registration)
 
     def replace_all(
         self, registrations: Iterable[Registration], now_ms: float
-    ) -> list[Change]:
+    ) -> list[ReplicaChange]:
         """Take in a full listing; what it lacks is no longer there."""
-        changes: list[Change] = []
+        changes: list[ReplicaChange] = []
         listed = {item.replica.name: item for item in registrations}
         for registration in listed.values():
             changes += self.put(registration, now_ms)
         for name in [name for name in self._entries if name not in listed]:
-            changes += self.remove(name, now_ms)
+            changes += self.mark_missing(name, now_ms)
         return changes
 
-    def expire(self, now_ms: float) -> list[Change]:
+    def expire(self, now_ms: float) -> list[ReplicaChange]:
         """Drop the replicas that have been missing for too long."""
         return [
-            self._drop(name)
+            self._remove(name)
             for name, entry in tuple(self._entries.items())
             if entry.missing_since_ms is not None
             and now_ms - entry.missing_since_ms >= self._hold_ms
@@ -187,11 +187,11 @@
 
 def _kind_of_change(
     old: Registration, new: Registration, was_missing: bool
-) -> ChangeKind | None:
+) -> ReplicaChangeKind | None:
     if old.replica != new.replica or old.service != new.service:
-        return ChangeKind.RESTARTED
+        return ReplicaChangeKind.RESTARTED
     if new.is_draining and not old.is_draining:
-        return ChangeKind.DRAINING
+        return ReplicaChangeKind.DRAINING
     if was_missing or (old.is_draining and not new.is_draining):
-        return ChangeKind.RESTORED
+        return ReplicaChangeKind.RESTORED
     return None
--- a/chestnuthall/core/registry/tests/test_register.py
+++ b/chestnuthall/core/registry/tests/test_registry.py
@@ -3,8 +3,8 @@
 import pytest
 
 from chestnuthall.core.model import Replica
-from chestnuthall.core.registry import ChangeKind, Registration, ReplicaRegister
-from chestnuthall.core.registry._register import LAST_RESORT_MS
+from chestnuthall.core.registry import Registration, ReplicaChangeKind, ReplicaRegistry
+from chestnuthall.core.registry._registry import LAST_RESORT_MS
 
 HOLD_MS = 2_000.0
 
@@ -16,25 +16,25 @@
 
 def run(steps):
     """Apply steps of (time, verb, argument); return the register and its changes."""
-    register = ReplicaRegister(HOLD_MS)
+    registry = ReplicaRegistry(HOLD_MS)
     changes = []
     for now_ms, verb, argument in steps:
         if verb == "expire":
-            changes += register.expire(now_ms)
+            changes += registry.expire(now_ms)
         else:
-            changes += getattr(register, verb)(argument, now_ms)
-    return register, [change.kind for change in changes]
+            changes += getattr(registry, verb)(argument, now_ms)
+    return registry, [change.kind for change in changes]
 
 
-SEEN, GONE = ChangeKind.SEEN, ChangeKind.GONE
-MISSING, RESTORED = ChangeKind.MISSING, ChangeKind.RESTORED
+ADDED, REMOVED = ReplicaChangeKind.ADDED, ReplicaChangeKind.REMOVED
+MISSING, RESTORED = ReplicaChangeKind.MISSING, ReplicaChangeKind.RESTORED
 # (case, steps, kinds of change, names in use afterwards, time of the look)
 CASES = [
-    ("seen", [(0, "put", entry("a"))], [SEEN], {"a"}, 0),
+    ("seen", [(0, "put", entry("a"))], [ADDED], {"a"}, 0),
     (
         "same again",
         [(0, "put", entry("a")), (1, "put", entry("a"))],
-        [SEEN],
+        [ADDED],
         {"a"},
         1,
     ),
@@ -45,42 +45,46 @@
             (0, "put", entry("b")),
             (1, "put", entry("a", draining=True)),
         ],
-        [SEEN, SEEN, ChangeKind.DRAINING],
+        [ADDED, ADDED, ReplicaChangeKind.DRAINING],
         {"b"},
         1,
     ),
     (
         "the last one drains",
         [(0, "put", entry("a")), (1, "put", entry("a", draining=True))],
-        [SEEN, ChangeKind.DRAINING],
+        [ADDED, ReplicaChangeKind.DRAINING],
         {"a"},
         1 + LAST_RESORT_MS - 1,
     ),
     (
         "the last one drained for too long",
         [(0, "put", entry("a")), (1, "put", entry("a", draining=True))],
-        [SEEN, ChangeKind.DRAINING],
+        [ADDED, ReplicaChangeKind.DRAINING],
         set(),
         1 + LAST_RESORT_MS,
     ),
     (
         "lapsed and back",
-        [(0, "put", entry("a")), (1, "remove", "a"), (900, "put", entry("a"))],
-        [SEEN, MISSING, RESTORED],
+        [(0, "put", entry("a")), (1, "mark_missing", "a"), (900, "put", entry("a"))],
+        [ADDED, MISSING, RESTORED],
         {"a"},
         900,
     ),
     (
         "lapsed while held",
-        [(0, "put", entry("a")), (1, "remove", "a"), (HOLD_MS, "expire", None)],
-        [SEEN, MISSING],
+        [(0, "put", entry("a")), (1, "mark_missing", "a"), (HOLD_MS, "expire", None)],
+        [ADDED, MISSING],
         {"a"},
         HOLD_MS,
     ),
     (
         "lapsed for good",
-        [(0, "put", entry("a")), (1, "remove", "a"), (1 + HOLD_MS, "expire", None)],
-        [SEEN, MISSING, GONE],
+        [
+            (0, "put", entry("a")),
+            (1, "mark_missing", "a"),
+            (1 + HOLD_MS, "expire", None),
+        ],
+        [ADDED, MISSING, REMOVED],
         set(),
         1 + HOLD_MS,
     ),
@@ -89,16 +93,16 @@
         [
             (0, "put", entry("a")),
             (1, "put", entry("a", draining=True)),
-            (2, "remove", "a"),
+            (2, "mark_missing", "a"),
         ],
-        [SEEN, ChangeKind.DRAINING, GONE],
+        [ADDED, ReplicaChangeKind.DRAINING, REMOVED],
         set(),
         2,
     ),
     (
         "restarted under its name",
         [(0, "put", entry("a")), (1, "put", entry("a", born=2))],
-        [SEEN, ChangeKind.RESTARTED],
+        [ADDED, ReplicaChangeKind.RESTARTED],
         {"a"},
         1,
     ),
@@ -108,7 +112,7 @@
             (0, "put", entry("a", born=2)),
             (1, "put", entry("a", born=1, draining=True)),
         ],
-        [SEEN],
+        [ADDED],
         {"a"},
         1,
     ),
@@ -118,7 +122,7 @@
             (0, "put", entry("a", address="x:1")),
             (1, "put", entry("b", born=2, address="x:1", service="t")),
         ],
-        [SEEN, GONE, SEEN],
+        [ADDED, REMOVED, ADDED],
         set(),
         1,
     ),
@@ -130,7 +134,7 @@
             (1, "replace_all", [entry("b")]),
             (1 + HOLD_MS, "expire", None),
         ],
-        [SEEN, SEEN, MISSING, GONE],
+        [ADDED, ADDED, MISSING, REMOVED],
         {"b"},
         1 + HOLD_MS,
     ),
@@ -143,6 +147,6 @@
     ids=[case[0] for case in CASES],
 )
 def test_replicas_in_use(steps, kinds, names, now_ms):
-    register, found = run(steps)
+    registry, found = run(steps)
     assert found == kinds
-    assert {item.name for item in register.replicas_of("s", now_ms)} == names
+    assert {item.name for item in registry.replicas_of("s", now_ms)} == names
--- a/chestnuthall/daemon/_instance.py
+++ b/chestnuthall/daemon/_instance.py
@@ -30,7 +30,7 @@
 from chestnuthall.core.claims import LedgerSettings
 from chestnuthall.core.configuration import is_watcher
 from chestnuthall.core.model import Configuration
-from chestnuthall.core.quarantine import QuarantineRegister, QuarantineSettings
+from chestnuthall.core.quarantine import QuarantineRegistry, QuarantineSettings
 from chestnuthall.core.results import Failure
 from chestnuthall.ports import ListEntry, Metrics
 from chestnuthall.services import (
@@ -142,7 +142,7 @@
             self.membership.spread_now,
             settings.name,
         )
-        quarantine = QuarantineRegister(QuarantineSettings())
+        quarantine = QuarantineRegistry(QuarantineSettings())
         self.quarantines = QuarantineNews(
             quarantine,
             clock,
--- a/chestnuthall/daemon/tests/test_mutations_on_store.py
+++ b/chestnuthall/daemon/tests/test_mutations_on_store.py
@@ -21,7 +21,7 @@
     Shard,
     ShardAnswer,
 )
-from chestnuthall.core.quarantine import QuarantineRegister, QuarantineSettings
+from chestnuthall.core.quarantine import QuarantineRegistry, QuarantineSettings
 from chestnuthall.core.results import NO_REPLICA, RetryAdvice, RunState
 from chestnuthall.daemon.tests.store_world import (
     StoreWorld,
@@ -88,7 +88,7 @@
             configuration=self.keepers[index],
             admissions=Admissions(self.clock),
             ledger=self.ledgers[index],
-            quarantine=QuarantineRegister(QuarantineSettings()),
+            quarantine=QuarantineRegistry(QuarantineSettings()),
         )
         self.keepers[index].offer_text(configuration_text(1), "test")
         directory.add_map(PartitionMap("desk", 1, (SHARD,)))
--- a/chestnuthall/daemon/tests/test_urgent_news.py
+++ b/chestnuthall/daemon/tests/test_urgent_news.py
@@ -16,7 +16,7 @@
     Shard,
     UpstreamGroup,
 )
-from chestnuthall.core.quarantine import QuarantineRegister, QuarantineSettings
+from chestnuthall.core.quarantine import QuarantineRegistry, QuarantineSettings
 from chestnuthall.core.results import CONNECTION_REFUSED
 from chestnuthall.daemon.tests.virtual_fleet import VirtualFleet
 from chestnuthall.ports import PeerDigest, QuarantineNotice
@@ -56,8 +56,8 @@
         directory.add_map(PartitionMap("g", 1, (SHARD,)))
         membership = instance.membership
         drains = DrainNews(directory, clock, listed, membership.spread_now)
-        register = QuarantineRegister(QuarantineSettings())
-        quarantines = QuarantineNews(register, clock, membership.spread_now)
+        registry = QuarantineRegistry(QuarantineSettings())
+        quarantines = QuarantineNews(registry, clock, membership.spread_now)
         health = HealthChecks(upstream, directory, drains, membership, clock, random)
         membership.add_part(drains)
         membership.add_part(quarantines)
@@ -66,7 +66,7 @@
             drains=drains,
             directory=directory,
             router=directory.router("g"),
-            register=register,
+            registry=registry,
             quarantines=quarantines,
         )
         loop = asyncio.get_running_loop()
@@ -125,10 +125,10 @@
 }
 
 
-def lose_replica(register, index, now_ms):
+def lose_replica(registry, index, now_ms):
     """Lose a replica to one request; every loss but the first is of its probe."""
     replica = Replica(f"r{index}", "", f"z{index}")
-    register.record_loss("f", replica, "s0", now_ms, now_ms, is_probe=index > 0)
+    registry.record_loss("f", replica, "s0", now_ms, now_ms, is_probe=index > 0)
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -233,7 +233,7 @@
         for index in (1, 2):
             parts = fleet.instances[f"entry-{index}"].parts
             now_ms = parts["clock"].now_ms()
-            lose_replica(parts["register"], index, now_ms)
+            lose_replica(parts["registry"], index, now_ms)
         await asyncio.sleep(BOUND_S)
         n_before = n_refusing()
         # One instance misses the lift and then passes on what it still holds.
@@ -257,7 +257,7 @@
         await fleet.settle()
         parts = fleet.instances["entry-1"].parts
         for index in range(2):
-            lose_replica(parts["register"], index, parts["clock"].now_ms())
+            lose_replica(parts["registry"], index, parts["clock"].now_ms())
         await asyncio.sleep(301.0)
         return sum(
             bool(item.parts["quarantines"].suspicions())
@@ -288,7 +288,7 @@
 def test_only_a_later_loss_follows_a_lift(sequence, is_refused):
     """An old notice that arrives after the lift must change nothing."""
     clock = SimpleNamespace(now_ms=lambda: 0.0, wall_ms=lambda: 0.0)
-    news = QuarantineNews(QuarantineRegister(QuarantineSettings()), clock, None)
+    news = QuarantineNews(QuarantineRegistry(QuarantineSettings()), clock, None)
     digest = PeerDigest(
         sender="entry-1",
         sender_address="a:1",
--- a/chestnuthall/platform/_instance.py
+++ b/chestnuthall/platform/_instance.py
@@ -26,8 +26,8 @@
 )
 from chestnuthall.core.model import Configuration
 from chestnuthall.core.overload import LagSettings, OverloadDetector
-from chestnuthall.core.quarantine import QuarantineRegister, QuarantineSettings
-from chestnuthall.core.registry import ReplicaRegister
+from chestnuthall.core.quarantine import QuarantineRegistry, QuarantineSettings
+from chestnuthall.core.registry import ReplicaRegistry
 from chestnuthall.core.routing import (
     RouterSettings,
     ServiceExtraLoadBudget,
@@ -201,7 +201,7 @@
             self._caller,
             clock,
             read_registration,
-            ReplicaRegister(min(HOLD_MS, settings.drain_ms - HOLD_MARGIN_MS)),
+            ReplicaRegistry(min(HOLD_MS, settings.drain_ms - HOLD_MARGIN_MS)),
             _router_settings(settings.zone),
             random,
             watch_timeout_ms,
@@ -236,7 +236,7 @@
             directory=self.directory,
             configuration=self.configuration,
             ledger=None,
-            quarantine=QuarantineRegister(
+            quarantine=QuarantineRegistry(
                 QuarantineSettings(quarantine_ms=QUARANTINE_MS)
             ),
             admissions=admissions,
--- a/chestnuthall/services/_drain_news.py
+++ b/chestnuthall/services/_drain_news.py
@@ -7,16 +7,16 @@
 from functools import singledispatchmethod
 
 from chestnuthall.core.drains import (
-    CameBack,
+    DisseminateNotices,
     DrainAction,
+    DrainDetected,
+    DrainEndDetected,
     DrainEvent,
-    DrainRegister,
+    DrainRegistry,
     DrainSignal,
     Notice,
     NoticesReceived,
     ResumeCalls,
-    Signalled,
-    SpreadNews,
     StopCalls,
 )
 from chestnuthall.core.model import PartitionMap, Replica, ShardAnswer, ShardCall
@@ -54,7 +54,7 @@
         self._directory = directory
         self._clock = clock
         self._spread = spread
-        self._register = DrainRegister(origin_name=origin_name)
+        self._registry = DrainRegistry(origin_name=origin_name)
         self._listed_leaving: set[str] = set()
         self._spreading: asyncio.Task[None] | None = None
         self._must_spread = False
@@ -63,7 +63,7 @@
     def signal(self, replica_name: str, signal: DrainSignal) -> None:
         """Note that this instance saw that a replica leaves."""
         now_ms, wall_ms = self._clock.now_ms(), self._clock.wall_ms()
-        self._handle(Signalled(now_ms, wall_ms, replica_name, signal))
+        self._handle(DrainDetected(now_ms, wall_ms, replica_name, signal))
 
     def note_back(
         self, replica_name: str, signal: DrainSignal, observed_ms: float
@@ -73,7 +73,9 @@
         ``observed_ms`` is the time at which the observation began.
         """
         now_ms, wall_ms = self._clock.now_ms(), self._clock.wall_ms()
-        self._handle(CameBack(now_ms, wall_ms, replica_name, signal, observed_ms))
+        self._handle(
+            DrainEndDetected(now_ms, wall_ms, replica_name, signal, observed_ms)
+        )
 
     def is_listed_leaving(self, replica_name: str) -> bool:
         """Return whether the platform's list says that a replica leaves."""
@@ -81,18 +83,18 @@
 
     def active(self) -> tuple[Notice, ...]:
         """Return the drains that hold now."""
-        return self._register.active(self._clock.now_ms())
+        return self._registry.active_drains(self._clock.now_ms())
 
     def apply_again(self) -> None:
         """Tell the routers of all drains; for groups that were added since."""
         now_ms = self._clock.now_ms()
-        for notice in self._register.active(now_ms):
+        for notice in self._registry.active_drains(now_ms):
             until_ms = now_ms + notice.remaining_ms
             self._perform(StopCalls(notice.replica_name, until_ms))
 
     def fill(self, digest: PeerDigest) -> PeerDigest:
         """Return the digest with the drain notices added."""
-        notices = self._register.take_notices(self._clock.now_ms())
+        notices = self._registry.select_notices(self._clock.now_ms())
         return replace(digest, drains=tuple(map(_to_port, notices)))
 
     def absorb(self, digest: PeerDigest) -> None:
@@ -122,7 +124,7 @@
         self._listed_leaving = leaving
 
     def _handle(self, event: DrainEvent) -> None:
-        for action in self._register.handle(event):
+        for action in self._registry.handle(event):
             self._perform(action)
 
     @singledispatchmethod
@@ -141,7 +143,7 @@
             router.set_drained_until(action.replica_name, float("-inf"))
 
     @_perform.register
-    def _(self, action: SpreadNews) -> None:
+    def _(self, action: DisseminateNotices) -> None:
         # One spread at a time bounds the traffic when many replicas drain.
         self._must_spread = True
         if self._spreading is None:
--- a/chestnuthall/services/_quarantine_news.py
+++ b/chestnuthall/services/_quarantine_news.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, replace
 
 from chestnuthall.core.quarantine import (
-    QuarantineRegister,
+    QuarantineRegistry,
     Suspicion,
     SuspicionState,
 )
@@ -42,22 +42,24 @@
 
     def __init__(
         self,
-        register: QuarantineRegister,
+        registry: QuarantineRegistry,
         clock: Clock,
         spread: Callable[[int], Awaitable[None]],
         zone_of: Callable[[str], str] = lambda replica_name: replica_name,
     ) -> None:
         self._zone_of = zone_of
-        self._register = register
+        self._registry = registry
         self._clock = clock
         self._spread = spread
         self._told: dict[str, _Told] = {}
         self._must_spread = False
-        register.on_change(self._on_change)
+        registry.on_change(self._on_change)
 
-    def _on_change(self, fingerprint: str, state: SuspicionState, is_own: bool) -> None:
+    def _on_change(
+        self, fingerprint: str, state: SuspicionState, is_local: bool
+    ) -> None:
         """Tell peers that a request was cleared here, as a lift of its suspicion."""
-        if state is SuspicionState.CLEARED and is_own and fingerprint in self._told:
+        if state is SuspicionState.CLEARED and is_local and fingerprint in self._told:
             self._tell(fingerprint, frozenset(), self._clock.now_ms() + LIFTED_MS)
             self._must_spread = True
 
@@ -71,15 +73,15 @@
 
     def suspicions(self) -> tuple[Suspicion, ...]:
         """Return the fingerprints that have cost replicas."""
-        return self._register.suspicions(self._clock.now_ms())
+        return self._registry.suspicions(self._clock.now_ms())
 
     def is_quarantined(self, fingerprint: str) -> bool:
         """Return whether a request is refused now."""
-        return self._register.is_quarantined(fingerprint, self._clock.now_ms())
+        return self._registry.is_quarantined(fingerprint, self._clock.now_ms())
 
     async def lift(self, fingerprint: str) -> bool:
         """End a quarantine here and at all peers; return whether it was known."""
-        was_known = self._register.lift(fingerprint)
+        was_known = self._registry.lift(fingerprint)
         self._tell(fingerprint, frozenset(), self._clock.now_ms() + LIFTED_MS)
         await self._spread(N_URGENT_PEERS)
         return was_known
@@ -122,7 +124,7 @@
         is_newer = told is None or notice.sequence > told.sequence
         if not names:
             if is_newer:
-                self._register.lift(notice.fingerprint)
+                self._registry.lift(notice.fingerprint)
                 self._note(notice, names, now_ms)
             return
         known = frozenset() if told is None else told.replica_names
@@ -135,7 +137,7 @@
         # together they are evidence enough.
         is_evidence = len({self._zone_of(name) for name in blamed}) > 1
         offered = blamed if is_evidence else names
-        self._register.merge(notice.fingerprint, offered, expires_ms, now_ms)
+        self._registry.merge(notice.fingerprint, offered, expires_ms, now_ms)
         self._note(notice, blamed, now_ms)
 
     def _note(
@@ -152,7 +154,7 @@
         """Find losses that only the register knows; return whether any is new."""
         now_ms = self._clock.now_ms()
         has_news = False
-        for suspicion in self._register.suspicions(now_ms):
+        for suspicion in self._registry.suspicions(now_ms):
             names = frozenset(suspicion.replica_names)
             told = self._told.get(suspicion.fingerprint)
             if told is None or not names <= told.replica_names:
--- a/chestnuthall/services/_query.py
+++ b/chestnuthall/services/_query.py
@@ -32,7 +32,7 @@
     UpstreamGroup,
     request_kind,
 )
-from chestnuthall.core.quarantine import QuarantineRegister
+from chestnuthall.core.quarantine import QuarantineRegistry
 from chestnuthall.core.results import (
     DEADLINE_PASSED,
     NOT_READY,
@@ -118,7 +118,7 @@
         directory: GroupDirectory,
         configuration: ConfigurationKeeper,
         ledger: ClaimLedger | None,
-        quarantine: QuarantineRegister,
+        quarantine: QuarantineRegistry,
         admissions: Admissions,
         record_outcome: Callable[[Outcome], None] | None = None,
         spread: Callable[[], Awaitable[None]] | None = None,
--- a/chestnuthall/services/_service_directory.py
+++ b/chestnuthall/services/_service_directory.py
@@ -29,10 +29,10 @@
     UpstreamGroup,
 )
 from chestnuthall.core.registry import (
-    Change,
-    ChangeKind,
     Registration,
-    ReplicaRegister,
+    ReplicaChange,
+    ReplicaChangeKind,
+    ReplicaRegistry,
 )
 from chestnuthall.core.results import HISTORY_TRIMMED, Failure
 from chestnuthall.core.routing import Router, RouterSettings
@@ -78,7 +78,7 @@
         connections: ReplicaConnections,
         clock: Clock,
         read: RegistrationReader,
-        register: ReplicaRegister,
+        registry: ReplicaRegistry,
         router_settings: RouterSettings,
         random: Random,
         watch_timeout_ms: float = WATCH_TIMEOUT_MS,
@@ -87,7 +87,7 @@
         self._connections = connections
         self._clock = clock
         self._read = read
-        self._register = register
+        self._registry = registry
         self._router = Router(router_settings, random)
         self._groups: dict[str, UpstreamGroup] = {}
         self._maps: dict[str, tuple[int, float, PartitionMap]] = {}
@@ -104,11 +104,11 @@
     @property
     def n_replicas(self) -> int:
         """Number of replicas known."""
-        return len(self._register)
+        return len(self._registry)
 
     def registrations(self) -> tuple[Registration, ...]:
         """Return the registrations in force, as a peer may take them over."""
-        return self._register.registrations()
+        return self._registry.registrations()
 
     def add_group(self, group: UpstreamGroup) -> None:
         """Define the services of a group, and keep those of earlier ones."""
@@ -132,7 +132,7 @@
         if group is None:
             return None
         now_ms = self._clock.now_ms()
-        version = self._register.version
+        version = self._registry.version
         kept = self._maps.get(group_name)
         if kept and kept[0] == version and now_ms - kept[1] < MAP_LIFETIME_MS:
             return kept[2]
@@ -141,7 +141,7 @@
                 service,
                 KeyRange("", ""),
                 1,
-                self._register.replicas_of(service, now_ms),
+                self._registry.replicas_of(service, now_ms),
             )
             for service in group.shard_ids
         )
@@ -175,7 +175,7 @@
             )
             return StoreFailed(now_ms)
         found = [item for item in map(self._read_entry, listed) if item is not None]
-        self._apply(self._register.replace_all(found, now_ms))
+        self._apply(self._registry.replace_all(found, now_ms))
         if not listed:
             # An empty listing names no version from which to watch.
             return StoreFailed(now_ms)
@@ -198,7 +198,7 @@
         for stored in batch.changed:
             self._take_changed(stored, now_ms)
         for name in batch.deleted_names:
-            self._apply(self._register.remove(name, now_ms))
+            self._apply(self._registry.mark_missing(name, now_ms))
         n_changes = len(batch.changed) + len(batch.deleted_names)
         return WatchEnded(now_ms, batch.version, n_changes == 0, n_changes)
 
@@ -211,9 +211,9 @@
     def _take_changed(self, stored: StoredObject, now_ms: float) -> None:
         registration = self._read_entry(stored)
         if registration is None:
-            self._apply(self._register.drop(stored.name))
+            self._apply(self._registry.remove(stored.name))
         else:
-            self._apply(self._register.put(registration, now_ms))
+            self._apply(self._registry.put(registration, now_ms))
 
     def _read_entry(self, stored: StoredObject) -> Registration | None:
         """Return a registration, or None for one that names no usable replica."""
@@ -230,21 +230,21 @@
             )
         return None
 
-    def _apply(self, changes: list[Change]) -> None:
+    def _apply(self, changes: list[ReplicaChange]) -> None:
         for change in changes:
             self._apply_change(change)
         self._set_expiry()
 
-    def _apply_change(self, change: Change) -> None:
+    def _apply_change(self, change: ReplicaChange) -> None:
         replica = change.new.replica
         now_ms = self._clock.now_ms()
-        if change.kind is ChangeKind.RESTARTED and change.old is not None:
+        if change.kind is ReplicaChangeKind.RESTARTED and change.old is not None:
             self._router.remove(replica.name)
             self._connections.forget(change.old.replica.address)
-        if change.kind is ChangeKind.GONE:
+        if change.kind is ReplicaChangeKind.REMOVED:
             self._router.remove(replica.name)
             self._forget_connections(replica.address)
-        if change.kind in (ChangeKind.SEEN, ChangeKind.RESTARTED):
+        if change.kind in (ReplicaChangeKind.ADDED, ReplicaChangeKind.RESTARTED):
             self._connections.prepare(replica, change.new.service)
             if change.new.warm_up_left_ms > 0.0:
                 self._router.start_ramp_up(replica.name, now_ms)
@@ -256,14 +256,14 @@
                 "incarnation": replica.incarnation,
                 "service": change.new.service,
                 "zone": replica.zone,
-                "directory_version": self._register.version,
+                "directory_version": self._registry.version,
             },
         )
 
     def _forget_connections(self, address: str) -> None:
         """Close the connections to an address that no other replica has."""
         in_use = any(
-            item.replica.address == address for item in self._register.registrations()
+            item.replica.address == address for item in self._registry.registrations()
         )
         if not in_use:
             self._connections.forget(address)
@@ -272,7 +272,7 @@
         if self._expiry is not None:
             self._expiry.cancel()
             self._expiry = None
-        due_ms = self._register.next_expiry_ms()
+        due_ms = self._registry.next_expiry_ms()
         if due_ms is None:
             return
         delay_ms = max(1.0, due_ms - self._clock.now_ms())
@@ -280,4 +280,4 @@
         self._expiry = loop.call_later(delay_ms / 1000.0, self._expire)
 
     def _expire(self) -> None:
-        self._apply(self._register.expire(self._clock.now_ms()))
+        self._apply(self._registry.expire(self._clock.now_ms()))
--- a/chestnuthall/services/_suspects.py
+++ b/chestnuthall/services/_suspects.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-from chestnuthall.core.quarantine import QuarantineRegister, SuspicionState
+from chestnuthall.core.quarantine import QuarantineRegistry, SuspicionState
 from chestnuthall.ports import Clock
 
 # A probe waits this long at most for peers that do not answer. Peers that can be
@@ -18,7 +18,7 @@
 
     def __init__(
         self,
-        register: QuarantineRegister,
+        registry: QuarantineRegistry,
         clock: Clock,
         spread: Callable[[], Awaitable[None]] | None,
     ) -> None:
@@ -27,7 +27,7 @@
         self._waiters: dict[str, list[Waiter]] = {}
         self._running: asyncio.Task[None] | None = None
         self._next: asyncio.Task[None] | None = None
-        register.on_change(self._on_change)
+        registry.on_change(self._on_change)
 
     def add_waiter(self, fingerprint: str, waiter: Waiter) -> None:
         """Call ``waiter`` when a suspicion of a fingerprint is settled."""
@@ -40,8 +40,10 @@
         if not waiters:
             del self._waiters[fingerprint]
 
-    def _on_change(self, fingerprint: str, state: SuspicionState, is_own: bool) -> None:
-        if is_own:
+    def _on_change(
+        self, fingerprint: str, state: SuspicionState, is_local: bool
+    ) -> None:
+        if is_local:
             self._begin_spread()
         if state is SuspicionState.SUSPECTED:
             return
--- a/chestnuthall/services/tests/_world.py
+++ b/chestnuthall/services/tests/_world.py
@@ -20,7 +20,7 @@
     ShardAnswer,
     UpstreamGroup,
 )
-from chestnuthall.core.quarantine import QuarantineRegister, QuarantineSettings
+from chestnuthall.core.quarantine import QuarantineRegistry, QuarantineSettings
 from chestnuthall.core.results import (
     CALL_TIMED_OUT,
     CONNECTION_LOST,
@@ -195,7 +195,7 @@
         self.store = FakeStore()
         self.random = Random(seed)
         self.upstreams = upstreams or FakeUpstreams(self.clock, self.random)
-        self.register = QuarantineRegister(QuarantineSettings())
+        self.register = QuarantineRegistry(QuarantineSettings())
         keeper = ConfigurationKeeper("t", self.store, self.clock, lambda text: None)
         self.directory = Directory(
             self.store,
