--- a/chestnuthall/adapters/documents/_burn.py
+++ b/chestnuthall/adapters/documents/_burn.py
@@ -10,7 +10,7 @@
     BurnLedger,
     SlotKey,
     Tally,
-    WriterMark,
+    WriterState,
 )
 from chestnuthall.core.results import INTERNAL_ERROR, Failure
 
@@ -63,7 +63,7 @@
             for slot_ms, slots in by_length.items()
             for index, numbers in slots.items()
         }
-        writers = {name: WriterMark(*mark) for name, mark in model.writers.items()}
+        writers = {name: WriterState(*mark) for name, mark in model.writers.items()}
         return BurnLedger(
             BurnCounts(tallies), writers, model.n_writes, model.n_writes_forgotten
         )
--- a/chestnuthall/core/burn/__init__.py
+++ b/chestnuthall/core/burn/__init__.py
@@ -1,7 +1,7 @@
 """Service-level burn: causes, counts, a ledger of many writers, and rates."""
 
 from chestnuthall.core.burn._accumulator import BurnAccumulator
-from chestnuthall.core.burn._causes import Cause, cause_of, counts_for_burn
+from chestnuthall.core.burn._causes import BurnCause, affects_burn, burn_cause
 from chestnuthall.core.burn._counts import (
     CAUSES,
     RESOLUTIONS,
@@ -13,12 +13,12 @@
     BurnDelta,
     BurnLedger,
     DeltaDecision,
-    WriterMark,
+    WriterState,
     add_delta,
     decide_delta,
     flush_interval_ms,
-    note_attempt,
-    part_of,
+    ledger_partition,
+    mark_attempted,
 )
 from chestnuthall.core.burn._report import (
     FAST_RATE,
@@ -40,20 +40,20 @@
     "BurnDelta",
     "BurnLedger",
     "BurnReport",
-    "Cause",
+    "BurnCause",
     "ClassBurn",
     "DeltaDecision",
     "SeriesPoint",
     "SlotKey",
     "Tally",
     "WindowBurn",
-    "WriterMark",
+    "WriterState",
     "add_delta",
     "burn_report",
-    "cause_of",
-    "counts_for_burn",
+    "burn_cause",
+    "affects_burn",
     "decide_delta",
     "flush_interval_ms",
-    "note_attempt",
-    "part_of",
+    "mark_attempted",
+    "ledger_partition",
 ]
--- a/chestnuthall/core/burn/_accumulator.py
+++ b/chestnuthall/core/burn/_accumulator.py
@@ -2,7 +2,7 @@
 
 from typing import Final
 
-from chestnuthall.core.burn._causes import Cause
+from chestnuthall.core.burn._causes import BurnCause
 from chestnuthall.core.burn._counts import (
     CAUSES,
     RESOLUTIONS,
@@ -31,7 +31,7 @@
         """Whether nothing was added since the last take."""
         return not self._pending
 
-    def add(self, class_name: str, cause: Cause | None, wall_ms: float) -> None:
+    def add(self, class_name: str, cause: BurnCause | None, wall_ms: float) -> None:
         """Count one request."""
         key = (class_name, int(wall_ms // _MINUTE_MS))
         numbers = self._pending.get(key)
@@ -43,7 +43,7 @@
         if cause is not None:
             numbers[1 + CAUSES.index(cause)] += 1
 
-    def take(self) -> BurnCounts:
+    def pop_counts(self) -> BurnCounts:
         """Return what was added and begin anew."""
         tallies: dict[SlotKey, Tally] = {}
         for (class_name, minute), numbers in self._pending.items():
--- a/chestnuthall/core/burn/_causes.py
+++ b/chestnuthall/core/burn/_causes.py
@@ -7,7 +7,7 @@
 from chestnuthall.core.results import ResultCode
 
 
-class Cause(Enum):
+class BurnCause(Enum):
     """Why a request was not good."""
 
     QUEUE = "queue"
@@ -21,21 +21,21 @@
 SUCCESSES: Final = (ResultCode.OK, ResultCode.OK_PARTIAL)
 
 _CAUSES: Final = {
-    ResultCode.QUEUE_FULL: Cause.SHED,
-    ResultCode.DEADLINE_UNREACHABLE: Cause.SHED,
-    ResultCode.RATE_LIMITED: Cause.SHED,
-    ResultCode.NOT_READY: Cause.SHED,
-    ResultCode.SHUTTING_DOWN: Cause.SHED,
-    ResultCode.SHED_BY_UPSTREAM: Cause.SHED,
-    ResultCode.DEADLINE_PASSED: Cause.QUEUE,
-    ResultCode.CALL_TIMED_OUT: Cause.STRAGGLER,
-    ResultCode.COVERAGE_BELOW_FLOOR: Cause.COVERAGE,
-    ResultCode.NO_REPLICA: Cause.COVERAGE,
-    ResultCode.SNAPSHOT_GONE: Cause.COVERAGE,
-    ResultCode.STORE_UNAVAILABLE: Cause.STORE,
-    ResultCode.STORE_WRITE_UNKNOWN: Cause.STORE,
-    ResultCode.LEDGER_FULL: Cause.STORE,
-    ResultCode.CLAIM_UNSETTLED: Cause.STORE,
+    ResultCode.QUEUE_FULL: BurnCause.SHED,
+    ResultCode.DEADLINE_UNREACHABLE: BurnCause.SHED,
+    ResultCode.RATE_LIMITED: BurnCause.SHED,
+    ResultCode.NOT_READY: BurnCause.SHED,
+    ResultCode.SHUTTING_DOWN: BurnCause.SHED,
+    ResultCode.SHED_BY_UPSTREAM: BurnCause.SHED,
+    ResultCode.DEADLINE_PASSED: BurnCause.QUEUE,
+    ResultCode.CALL_TIMED_OUT: BurnCause.STRAGGLER,
+    ResultCode.COVERAGE_BELOW_FLOOR: BurnCause.COVERAGE,
+    ResultCode.NO_REPLICA: BurnCause.COVERAGE,
+    ResultCode.SNAPSHOT_GONE: BurnCause.COVERAGE,
+    ResultCode.STORE_UNAVAILABLE: BurnCause.STORE,
+    ResultCode.STORE_WRITE_UNKNOWN: BurnCause.STORE,
+    ResultCode.LEDGER_FULL: BurnCause.STORE,
+    ResultCode.CLAIM_UNSETTLED: BurnCause.STORE,
 }
 
 # Refusals that are the fault of the request itself, not of the service.
@@ -48,12 +48,12 @@
 )
 
 
-def counts_for_burn(code: int) -> bool:
+def affects_burn(code: int) -> bool:
     """Return whether a result says anything about the quality of service."""
     return not 2000 <= code < 3000 and code not in _FAULTS_OF_REQUEST
 
 
-def cause_of(account: Account, objective: Objective) -> Cause | None:
+def burn_cause(account: Account, objective: Objective) -> BurnCause | None:
     """Return why a request was not good; None for a good one.
 
     A late answer counts against the queue if it spent at least half of its
@@ -64,5 +64,5 @@
         if total_ms <= objective.latency_ms:
             return None
         is_queue = account.admission.queued_ms * 2.0 >= total_ms
-        return Cause.QUEUE if is_queue else Cause.STRAGGLER
-    return _CAUSES.get(ResultCode(account.result_code), Cause.OTHER)
+        return BurnCause.QUEUE if is_queue else BurnCause.STRAGGLER
+    return _CAUSES.get(ResultCode(account.result_code), BurnCause.OTHER)
--- a/chestnuthall/core/burn/_counts.py
+++ b/chestnuthall/core/burn/_counts.py
@@ -4,9 +4,9 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-from chestnuthall.core.burn._causes import Cause
+from chestnuthall.core.burn._causes import BurnCause
 
-CAUSES: Final = tuple(Cause)
+CAUSES: Final = tuple(BurnCause)
 # Classes beyond this number are counted together, so that the size is bounded.
 N_CLASSES_MAX: Final = 64
 OTHER_CLASSES: Final = "(other)"
--- a/chestnuthall/core/burn/_ledger.py
+++ b/chestnuthall/core/burn/_ledger.py
@@ -8,7 +8,7 @@
 
 # One stored object takes the counts of this many instances, which keeps its
 # conditional updates from colliding; 1,900 instances use 30 objects.
-N_INSTANCES_PER_PART: Final = 64
+N_INSTANCES_PER_PARTITION: Final = 64
 # Twice the instances of a part, to remember those that were replaced lately.
 N_WRITERS_MAX: Final = 128
 # A flush is one read and one write. The fleet makes 17 of them a second at
@@ -29,20 +29,20 @@
     return max(FLUSH_INTERVAL_MIN_MS, wanted_ms)
 
 
-def part_of(instance_number: int, n_instances: int) -> int:
+def ledger_partition(instance_number: int, n_instances: int) -> int:
     """Return the part of the stored counts that an instance writes to.
 
     Examples
     --------
-    >>> part_of(77, 9), part_of(77, 1900)
+    >>> ledger_partition(77, 9), ledger_partition(77, 1900)
     (0, 17)
     """
-    n_parts = -(-max(1, n_instances) // N_INSTANCES_PER_PART)
-    return instance_number % n_parts
+    n_partitions = -(-max(1, n_instances) // N_INSTANCES_PER_PARTITION)
+    return instance_number % n_partitions
 
 
 @dataclass(frozen=True, slots=True)
-class WriterMark:
+class WriterState:
     """The last change of a writer, and the write of the object it came with."""
 
     sequence: int
@@ -58,7 +58,7 @@
     """
 
     counts: BurnCounts = field(default_factory=BurnCounts)
-    writers: dict[str, WriterMark] = field(default_factory=dict)
+    writers: dict[str, WriterState] = field(default_factory=dict)
     n_writes: int = 0
     n_writes_forgotten: int = 0
 
@@ -81,8 +81,8 @@
     """What to do with a change."""
 
     ADD = "add"
-    COUNTED_ALREADY = "counted_already"
-    CANNOT_TELL = "cannot_tell"
+    ALREADY_COUNTED = "counted_already"
+    UNDETERMINED = "cannot_tell"
 
 
 def decide_delta(ledger: BurnLedger, delta: BurnDelta) -> DeltaDecision:
@@ -92,16 +92,20 @@
     whether the attempt took effect; the change is then given up, because
     counting too little is better than counting twice.
     """
-    mark = ledger.writers.get(delta.writer)
-    if mark is not None and mark.sequence >= delta.sequence:
-        return DeltaDecision.COUNTED_ALREADY
+    writer = ledger.writers.get(delta.writer)
+    if writer is not None and writer.sequence >= delta.sequence:
+        return DeltaDecision.ALREADY_COUNTED
     was_tried = delta.first_n_writes > 0
-    if mark is None and was_tried and delta.first_n_writes <= ledger.n_writes_forgotten:
-        return DeltaDecision.CANNOT_TELL
+    if (
+        writer is None
+        and was_tried
+        and delta.first_n_writes <= ledger.n_writes_forgotten
+    ):
+        return DeltaDecision.UNDETERMINED
     return DeltaDecision.ADD
 
 
-def note_attempt(ledger: BurnLedger, delta: BurnDelta) -> BurnDelta:
+def mark_attempted(ledger: BurnLedger, delta: BurnDelta) -> BurnDelta:
     """Return a change that remembers its first attempt."""
     if delta.first_n_writes:
         return delta
@@ -111,7 +115,7 @@
 def add_delta(ledger: BurnLedger, delta: BurnDelta) -> BurnLedger:
     """Return the ledger with a change that ``decide_delta`` says to add."""
     n_writes = ledger.n_writes + 1
-    writers = {**ledger.writers, delta.writer: WriterMark(delta.sequence, n_writes)}
+    writers = {**ledger.writers, delta.writer: WriterState(delta.sequence, n_writes)}
     n_forgotten = ledger.n_writes_forgotten
     while len(writers) > N_WRITERS_MAX:
         oldest = min(writers, key=lambda name: writers[name].n_writes)
--- a/chestnuthall/core/burn/tests/test_burn.py
+++ b/chestnuthall/core/burn/tests/test_burn.py
@@ -5,17 +5,17 @@
 from chestnuthall.core.burn import (
     RESOLUTIONS,
     BurnAccumulator,
+    BurnCause,
     BurnCounts,
     BurnDelta,
     BurnLedger,
-    Cause,
     DeltaDecision,
     add_delta,
+    affects_burn,
+    burn_cause,
     burn_report,
-    cause_of,
-    counts_for_burn,
     decide_delta,
-    note_attempt,
+    mark_attempted,
 )
 from chestnuthall.core.burn._ledger import N_WRITERS_MAX
 from chestnuthall.core.model import (
@@ -57,36 +57,36 @@
 CAUSES = [
     (ResultCode.OK, 200.0, 0.0, None),
     (ResultCode.OK_PARTIAL, 200.0, 0.0, None),
-    (ResultCode.OK, 201.0, 100.5, Cause.QUEUE),
-    (ResultCode.OK, 201.0, 100.0, Cause.STRAGGLER),
-    (ResultCode.QUEUE_FULL, 1.0, 0.0, Cause.SHED),
-    (ResultCode.DEADLINE_PASSED, 1.0, 0.0, Cause.QUEUE),
-    (ResultCode.COVERAGE_BELOW_FLOOR, 1.0, 0.0, Cause.COVERAGE),
-    (ResultCode.CLAIM_UNSETTLED, 1.0, 0.0, Cause.STORE),
-    (ResultCode.INTERNAL_ERROR, 1.0, 0.0, Cause.OTHER),
+    (ResultCode.OK, 201.0, 100.5, BurnCause.QUEUE),
+    (ResultCode.OK, 201.0, 100.0, BurnCause.STRAGGLER),
+    (ResultCode.QUEUE_FULL, 1.0, 0.0, BurnCause.SHED),
+    (ResultCode.DEADLINE_PASSED, 1.0, 0.0, BurnCause.QUEUE),
+    (ResultCode.COVERAGE_BELOW_FLOOR, 1.0, 0.0, BurnCause.COVERAGE),
+    (ResultCode.CLAIM_UNSETTLED, 1.0, 0.0, BurnCause.STORE),
+    (ResultCode.INTERNAL_ERROR, 1.0, 0.0, BurnCause.OTHER),
 ]
 
 
 @pytest.mark.parametrize(("code", "total_ms", "queued_ms", "cause"), CAUSES)
 def test_cause(code, total_ms, queued_ms, cause):
     """Guards against budget charged to the wrong part of the system."""
-    found = cause_of(account(code, total_ms, queued_ms), Objective(200.0, 0.99))
+    found = burn_cause(account(code, total_ms, queued_ms), Objective(200.0, 0.99))
     assert found is cause
-    assert counts_for_burn(code)
+    assert affects_burn(code)
 
 
 @pytest.mark.parametrize(
     "code", [ResultCode.INVALID_REQUEST, ResultCode.QUARANTINED, ResultCode.KEY_EXPIRED]
 )
 def test_fault_of_the_request_uses_no_budget(code):
-    assert not counts_for_burn(code)
+    assert not affects_burn(code)
 
 
 def counts_at(wall_ms, n_good, n_bad):
     pending = BurnAccumulator()
-    for cause in [None] * n_good + [Cause.QUEUE] * n_bad:
+    for cause in [None] * n_good + [BurnCause.QUEUE] * n_bad:
         pending.add("clerk", cause, wall_ms)
-    return pending.take()
+    return pending.pop_counts()
 
 
 # (case, age of the requests, good, bad, rates of 5m 1h 6h 3d, fast, slow)
@@ -133,27 +133,27 @@
     pending = BurnAccumulator()
     for minute in range(5 * 24 * 60):
         pending.add("clerk", None, NOW_MS + minute * 60_000.0)
-    counts = BurnCounts().plus(pending.take())
+    counts = BurnCounts().plus(pending.pop_counts())
     n_slots_max = sum(item.n_slots for item in RESOLUTIONS)
     assert len(counts.tallies) == n_slots_max
     counts = counts.plus(counts_at(NOW_MS + 1e11, 1, 0))
     assert len(counts.tallies) == n_slots_max
     for number in range(200):
         pending.add(f"class-{number}", None, NOW_MS)
-    assert len(counts.plus(pending.take()).class_names()) <= 65
+    assert len(counts.plus(pending.pop_counts()).class_names()) <= 65
 
 
 def test_change_is_added_once_or_given_up():
     """Guards against a change counted twice after its mark was forgotten."""
     delta = BurnDelta("me", 1, counts_at(NOW_MS, 1, 0))
     assert decide_delta(BurnLedger(), delta) is DeltaDecision.ADD
-    tried = note_attempt(BurnLedger(), delta)
+    tried = mark_attempted(BurnLedger(), delta)
     ledger = add_delta(BurnLedger(), tried)
-    assert decide_delta(ledger, tried) is DeltaDecision.COUNTED_ALREADY
+    assert decide_delta(ledger, tried) is DeltaDecision.ALREADY_COUNTED
     later = BurnDelta("me", 2, delta.counts)
     assert decide_delta(ledger, later) is DeltaDecision.ADD
     for number in range(N_WRITERS_MAX):
         ledger = add_delta(ledger, BurnDelta(f"w{number}", 1, BurnCounts()))
     assert "me" not in ledger.writers
-    assert decide_delta(ledger, tried) is DeltaDecision.CANNOT_TELL
+    assert decide_delta(ledger, tried) is DeltaDecision.UNDETERMINED
     assert decide_delta(ledger, later) is DeltaDecision.ADD
--- a/chestnuthall/services/_burn.py
+++ b/chestnuthall/services/_burn.py
@@ -15,12 +15,12 @@
     BurnLedger,
     DeltaDecision,
     add_delta,
-    cause_of,
-    counts_for_burn,
+    affects_burn,
+    burn_cause,
     decide_delta,
     flush_interval_ms,
-    note_attempt,
-    part_of,
+    ledger_partition,
+    mark_attempted,
 )
 from chestnuthall.core.model import Answer, Configuration, Refusal
 from chestnuthall.core.results import (
@@ -119,12 +119,12 @@
         if account.configuration_revision == self._configuration.revision:
             self._n_by_result[name] = self._n_by_result.get(name, 0) + 1
         in_force = self._configuration.in_force
-        if in_force is None or not counts_for_burn(account.result_code):
+        if in_force is None or not affects_burn(account.result_code):
             return
         caller_class = in_force.document.find_class(account.class_name)
         if caller_class is None:
             return
-        cause = cause_of(account, caller_class.objective)
+        cause = burn_cause(account, caller_class.objective)
         self._pending.add(caller_class.name, cause, account.finished_wall_ms)
         if cause is not None:
             self._metrics.count(f"burn.bad.{cause.value}")
@@ -161,10 +161,10 @@
 
     def _next_delta(self) -> _OpenDelta:
         self._sequence += 1
-        counts = self._pending.take()
+        counts = self._pending.pop_counts()
         number = crc32(self._writer.encode())
-        part = part_of(number, self._count_instances())
-        name = f"{self._environment}.{part}"
+        partition = ledger_partition(number, self._count_instances())
+        name = f"{self._environment}.{partition}"
         return _OpenDelta(name, BurnDelta(self._writer, self._sequence, counts))
 
     async def _try_flush(self, item: _OpenDelta) -> bool:
@@ -174,12 +174,12 @@
             return False
         ledger, version = read
         decision = decide_delta(ledger, item.delta)
-        if decision is DeltaDecision.CANNOT_TELL:
+        if decision is DeltaDecision.UNDETERMINED:
             self._metrics.count("burn.delta_given_up")
             _log.warning("burn counts given up")
         if decision is not DeltaDecision.ADD:
             return True
-        delta = note_attempt(ledger, item.delta)
+        delta = mark_attempted(ledger, item.delta)
         self._open = _OpenDelta(item.object_name, delta)
         text = self._codec.encode(add_delta(ledger, delta))
         written = await self._write(item.object_name, text, version)
