--- a/benchmarks/fleet/idle.py
+++ b/benchmarks/fleet/idle.py
@@ -10,11 +10,11 @@
 from random import Random
 
 from chestnuthall.core.membership import (
-    MemberNews,
+    DigestReceived,
+    MemberRecord,
     MembershipMachine,
     MembershipSettings,
     MemberState,
-    NewsReceived,
     Tick,
 )
 from chestnuthall.core.routing import HashRing
@@ -27,17 +27,17 @@
 CHECK_INTERVAL_S = 5.0
 
 
-def _news(index: int, incarnation: int = 1) -> MemberNews:
+def _record(index: int, incarnation: int = 1) -> MemberRecord:
     name = f"entry-{index + 1000}"
-    return MemberNews(name, f"10.0.0.1:{index}", "z", MemberState.ALIVE, incarnation)
+    return MemberRecord(name, f"10.0.0.1:{index}", "z", MemberState.ALIVE, incarnation)
 
 
 def measure_machine(n_instances: int) -> float:
     """Return the processor time of the machine as a part of one core."""
     settings = MembershipSettings()
-    machine = MembershipMachine(_news(0), settings, Random(1))
+    machine = MembershipMachine(_record(0), settings, Random(1))
     for index in range(1, n_instances):
-        machine.handle(NewsReceived(0.0, _news(index), ()))
+        machine.handle(DigestReceived(0.0, _record(index), ()))
     n_ticks = int(SECONDS * 1000.0 / settings.tick_ms)
     n_between = settings.interval_ms(n_instances) / settings.tick_ms / 2.0
     random = Random(2)
@@ -47,9 +47,9 @@
         machine.handle(Tick(now_ms))
         if step % round(n_between) == 0:
             indices = (random.randrange(1, n_instances) for _ in range(N_NEWS))
-            news = tuple(_news(index, step + 2) for index in indices)
-            machine.handle(NewsReceived(now_ms, _news(1), news))
-            machine.take_news("entry-1001")
+            records = tuple(_record(index, step + 2) for index in indices)
+            machine.handle(DigestReceived(now_ms, _record(1), records))
+            machine.select_updates("entry-1001")
     return (time.process_time() - started_s) / SECONDS
 
 
--- a/benchmarks/fleet/memory.py
+++ b/benchmarks/fleet/memory.py
@@ -8,19 +8,19 @@
 from random import Random
 
 from chestnuthall.core.membership import (
-    MemberNews,
+    DigestReceived,
+    MemberRecord,
     MembershipMachine,
     MembershipSettings,
     MemberState,
-    NewsReceived,
     Tick,
 )
 
 SIZES = (9, 100, 400, 1_900)
 
 
-def _news(index: int) -> MemberNews:
-    return MemberNews(
+def _record(index: int) -> MemberRecord:
+    return MemberRecord(
         f"entry-{index + 1000}",
         f"10.20.{index // 256}.{index % 256}:7001",
         "region-1-zone-a",
@@ -32,12 +32,12 @@
 def measure(n_instances: int) -> int:
     """Return the bytes that one machine holds for a fleet."""
     tracemalloc.start()
-    machine = MembershipMachine(_news(0), MembershipSettings(), Random(1))
+    machine = MembershipMachine(_record(0), MembershipSettings(), Random(1))
     for index in range(1, n_instances):
-        machine.handle(NewsReceived(0.0, _news(index), ()))
+        machine.handle(DigestReceived(0.0, _record(index), ()))
     for step in range(20):
         machine.handle(Tick(step * 100.0))
-        machine.take_news()
+        machine.select_updates()
     n_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return n_bytes
--- a/chestnuthall/core/membership/__init__.py
+++ b/chestnuthall/core/membership/__init__.py
@@ -1,50 +1,50 @@
 """Which instances there are: probing, suspicion and the spread of news."""
 
 from chestnuthall.core.membership._events import (
-    AddressTaken,
+    AddressReused,
     CountsChanged,
+    DigestReceived,
+    IndirectProbe,
+    InstanceListRead,
     LeaveAnnounced,
     LeaveFinished,
-    ListRead,
     MembershipAction,
     MembershipEvent,
-    NewsReceived,
     Probe,
     ProbeAnswered,
     ProbeFailed,
-    ProbeThrough,
     Superseded,
     Tick,
 )
 from chestnuthall.core.membership._machine import MembershipMachine
-from chestnuthall.core.membership._news import (
+from chestnuthall.core.membership._records import (
     FleetCounts,
     ListedInstance,
-    MemberNews,
+    MemberRecord,
     MemberState,
     replaces,
 )
 from chestnuthall.core.membership._settings import MembershipSettings
 
 __all__ = [
-    "AddressTaken",
+    "AddressReused",
     "CountsChanged",
     "FleetCounts",
     "LeaveAnnounced",
     "LeaveFinished",
-    "ListRead",
+    "InstanceListRead",
     "ListedInstance",
-    "MemberNews",
+    "MemberRecord",
     "MemberState",
     "MembershipAction",
     "MembershipEvent",
     "MembershipMachine",
     "MembershipSettings",
-    "NewsReceived",
+    "DigestReceived",
     "Probe",
     "ProbeAnswered",
     "ProbeFailed",
-    "ProbeThrough",
+    "IndirectProbe",
     "Superseded",
     "Tick",
     "replaces",
--- a/chestnuthall/core/membership/_events.py
+++ b/chestnuthall/core/membership/_events.py
@@ -2,10 +2,10 @@
 
 from dataclasses import dataclass
 
-from chestnuthall.core.membership._news import (
+from chestnuthall.core.membership._records import (
     FleetCounts,
     ListedInstance,
-    MemberNews,
+    MemberRecord,
 )
 
 
@@ -36,22 +36,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AddressTaken(MembershipEvent):
+class AddressReused(MembershipEvent):
     """An instance of another name answered at the target's address."""
 
     probe_id: int
 
 
 @dataclass(frozen=True, slots=True)
-class NewsReceived(MembershipEvent):
+class DigestReceived(MembershipEvent):
     """A digest came from a peer, which proves that the sender runs."""
 
-    sender: MemberNews
-    news: tuple[MemberNews, ...]
+    sender: MemberRecord
+    records: tuple[MemberRecord, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class ListRead(MembershipEvent):
+class InstanceListRead(MembershipEvent):
     """The platform's whole list of entry instances was read."""
 
     listed: tuple[ListedInstance, ...]
@@ -82,7 +82,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ProbeThrough(MembershipAction):
+class IndirectProbe(MembershipAction):
     """Ask a helper to probe a target and report the outcome."""
 
     probe_id: int
--- a/chestnuthall/core/membership/_machine.py
+++ b/chestnuthall/core/membership/_machine.py
@@ -5,25 +5,25 @@
 from random import Random
 
 from chestnuthall.core.membership._events import (
-    AddressTaken,
+    AddressReused,
     CountsChanged,
+    DigestReceived,
+    IndirectProbe,
+    InstanceListRead,
     LeaveAnnounced,
     LeaveFinished,
-    ListRead,
     MembershipAction,
     MembershipEvent,
-    NewsReceived,
     Probe,
     ProbeAnswered,
     ProbeFailed,
-    ProbeThrough,
     Superseded,
     Tick,
 )
-from chestnuthall.core.membership._news import (
+from chestnuthall.core.membership._records import (
     FleetCounts,
     ListedInstance,
-    MemberNews,
+    MemberRecord,
     MemberState,
     replaces,
 )
@@ -50,7 +50,7 @@
     """
 
     def __init__(
-        self, own: MemberNews, settings: MembershipSettings, random: Random
+        self, own: MemberRecord, settings: MembershipSettings, random: Random
     ) -> None:
         self._own = own
         self._settings = settings
@@ -71,7 +71,7 @@
         self._actions: list[MembershipAction] = []
 
     @property
-    def own(self) -> MemberNews:
+    def own(self) -> MemberRecord:
         """What this instance says about itself."""
         return self._own
 
@@ -80,14 +80,14 @@
         """The counts after the last event."""
         return self._counts
 
-    def members(self) -> list[MemberNews]:
+    def members(self) -> list[MemberRecord]:
         """Return the other instances that are not known to be dead."""
-        return [member.news for member in self._table.running()]
+        return [member.record for member in self._table.running()]
 
-    def news_of(self, name: str) -> MemberNews | None:
+    def record_of(self, name: str) -> MemberRecord | None:
         """Return what is held about another instance, dead ones included."""
         member = self._table.get(name)
-        return None if member is None else member.news
+        return None if member is None else member.record
 
     def handle(self, event: MembershipEvent) -> list[MembershipAction]:
         """Take one event and return what has to be done."""
@@ -155,36 +155,36 @@
         if not has_asked and self._ask_helpers(event.probe_id, probe, member):
             return
         del self._probes[event.probe_id]
-        if member.news.incarnation == probe.incarnation:
+        if member.record.incarnation == probe.incarnation:
             self._on_unanswered(member, event.now_ms)
 
     @_on.register
-    def _(self, event: NewsReceived) -> None:
+    def _(self, event: DigestReceived) -> None:
         self._note_contact(event.now_ms)
         self._merge(event.sender, event.now_ms)
-        for news in event.news:
-            self._merge(news, event.now_ms)
+        for record in event.records:
+            self._merge(record, event.now_ms)
 
     @_on.register
-    def _(self, event: AddressTaken) -> None:
+    def _(self, event: AddressReused) -> None:
         probe = self._probes.pop(event.probe_id, None)
         self._note_contact(event.now_ms)
         member = None if probe is None else self._table.get(probe.name)
         if probe is None or member is None or member.is_dead:
             return
-        if member.news.incarnation == probe.incarnation:
+        if member.record.incarnation == probe.incarnation:
             self._pass_on(self._set_news(member, MemberState.DEAD, event.now_ms))
 
     @_on.register
-    def _(self, event: ListRead) -> None:
+    def _(self, event: InstanceListRead) -> None:
         listed = {item.name: item for item in event.listed}
         listed.pop(self._own.name, None)
         for member in list(self._table):
-            name = member.news.name
+            name = member.record.name
             member.is_listed = name in listed
             if not member.is_listed:
                 member.leaving_incarnation = None
-                if member.news.incarnation == 0:
+                if member.record.incarnation == 0:
                     self._table.remove(name)
                     continue
                 self._table.count_again(member)
@@ -207,12 +207,14 @@
     def _note_listed(self, item: ListedInstance) -> None:
         member = self._table.get(item.name)
         if member is None:
-            news = MemberNews(item.name, item.address, item.zone, MemberState.ALIVE, 0)
-            member = Member(news)
+            record = MemberRecord(
+                item.name, item.address, item.zone, MemberState.ALIVE, 0
+            )
+            member = Member(record)
             self._table.add(member)
-        elif member.news.incarnation == 0 and member.news.address != item.address:
-            member.news = replace(
-                member.news, address=item.address, state=MemberState.ALIVE
+        elif member.record.incarnation == 0 and member.record.address != item.address:
+            member.record = replace(
+                member.record, address=item.address, state=MemberState.ALIVE
             )
             member.n_join_failures = 0
         member.is_listed = True
@@ -220,7 +222,7 @@
         if not item.is_leaving:
             member.leaving_incarnation = None
         elif member.leaving_incarnation is None:
-            member.leaving_incarnation = member.news.incarnation
+            member.leaving_incarnation = member.record.incarnation
         self._table.count_again(member)
 
     # Probing
@@ -237,9 +239,9 @@
 
     def _probe(self, member: Member) -> None:
         self._n_probes += 1
-        news = member.news
-        self._probes[self._n_probes] = _RunningProbe(news.name, news.incarnation)
-        self._actions.append(Probe(self._n_probes, news.name, member.probe_address))
+        record = member.record
+        self._probes[self._n_probes] = _RunningProbe(record.name, record.incarnation)
+        self._actions.append(Probe(self._n_probes, record.name, member.probe_address))
 
     def _ask_helpers(self, probe_id: int, probe: _RunningProbe, member: Member) -> bool:
         if member.is_dead or member.is_joining:
@@ -248,7 +250,7 @@
         probe.n_indirect = len(helpers)
         for helper in helpers:
             self._actions.append(
-                ProbeThrough(probe_id, helper.news.address, member.news.address)
+                IndirectProbe(probe_id, helper.record.address, member.record.address)
             )
         return bool(helpers)
 
@@ -259,9 +261,9 @@
             member.n_join_failures += 1
             if member.n_join_failures >= self._settings.n_join_failures_max:
                 self._set_news(member, MemberState.DEAD, now_ms)
-        elif member.news.state is MemberState.LEAVING:
+        elif member.record.state is MemberState.LEAVING:
             self._pass_on(self._set_news(member, MemberState.DEAD, now_ms))
-        elif member.news.state is MemberState.ALIVE:
+        elif member.record.state is MemberState.ALIVE:
             self._pass_on(self._set_news(member, MemberState.SUSPECT, now_ms))
 
     # Time
@@ -283,7 +285,7 @@
         is_isolated = self._is_isolated(now_ms)
         for name in tuple(self._suspects):
             member = self._table.get(name)
-            if member is None or member.news.state is not MemberState.SUSPECT:
+            if member is None or member.record.state is not MemberState.SUSPECT:
                 self._suspects.discard(name)
                 continue
             # While this instance hears nobody, the platform's word counts.
@@ -306,61 +308,61 @@
         for member in list(self._table):
             is_old = member.is_dead and member.dead_since_ms < kept_since_ms
             if is_old and not member.is_listed:
-                self._table.remove(member.news.name)
+                self._table.remove(member.record.name)
 
     # News
 
     def _set_news(self, member: Member, state: MemberState, now_ms: float) -> Member:
-        self._apply(member, replace(member.news, state=state), now_ms)
+        self._apply(member, replace(member.record, state=state), now_ms)
         return member
 
-    def _apply(self, member: Member, news: MemberNews, now_ms: float) -> None:
-        member.news = news
+    def _apply(self, member: Member, record: MemberRecord, now_ms: float) -> None:
+        member.record = record
         member.n_join_failures = 0
-        self._suspects.discard(news.name)
-        if news.state is MemberState.SUSPECT:
+        self._suspects.discard(record.name)
+        if record.state is MemberState.SUSPECT:
             suspicion_ms = self._settings.suspicion_ms(self._counts.n_live)
             member.suspect_until_ms = now_ms + suspicion_ms
             member.is_last_probe_sent = False
-            self._suspects.add(news.name)
-        elif news.state is MemberState.DEAD:
+            self._suspects.add(record.name)
+        elif record.state is MemberState.DEAD:
             member.dead_since_ms = now_ms
         self._table.count_again(member)
 
     def _pass_on(self, member: Member) -> None:
-        if member.news.incarnation > 0:
-            self._spread.add(member.news.name)
+        if member.record.incarnation > 0:
+            self._spread.add(member.record.name)
 
-    def _merge(self, news: MemberNews, now_ms: float) -> None:
-        if news.name == self._own.name:
-            self._hear_of_self(news, now_ms)
+    def _merge(self, record: MemberRecord, now_ms: float) -> None:
+        if record.name == self._own.name:
+            self._hear_of_self(record, now_ms)
             return
-        if news.incarnation <= 0:
+        if record.incarnation <= 0:
             return
-        member = self._table.get(news.name)
+        member = self._table.get(record.name)
         if member is None:
-            member = Member(news)
+            member = Member(record)
             self._table.add(member)
-        elif not replaces(news, member.news):
+        elif not replaces(record, member.record):
             return
-        self._apply(member, news, now_ms)
+        self._apply(member, record, now_ms)
         self._pass_on(member)
 
-    def _hear_of_self(self, news: MemberNews, now_ms: float) -> None:
-        if not replaces(news, self._own) or self._has_left:
+    def _hear_of_self(self, record: MemberRecord, now_ms: float) -> None:
+        if not replaces(record, self._own) or self._has_left:
             return
         assert self._started_ms is not None
         is_newcomer = now_ms - self._started_ms < self._settings.restart_window_ms
-        is_elsewhere = news.address != self._own.address
-        is_running = news.state in (MemberState.ALIVE, MemberState.LEAVING)
+        is_elsewhere = record.address != self._own.address
+        is_running = record.state in (MemberState.ALIVE, MemberState.LEAVING)
         if is_running and is_elsewhere and not is_newcomer:
             if not self._is_superseded:
                 self._is_superseded = True
-                self._actions.append(Superseded(news.address))
+                self._actions.append(Superseded(record.address))
             return
-        self._own = replace(self._own, incarnation=news.incarnation + 1)
+        self._own = replace(self._own, incarnation=record.incarnation + 1)
 
-    def take_news(self, recipient_name: str = "") -> list[MemberNews]:
+    def select_updates(self, recipient_name: str = "") -> list[MemberRecord]:
         """Return the news for one message, counted as passed on once more.
 
         The own news comes first, then what is said against the recipient, so
@@ -372,18 +374,18 @@
         )
         chosen = dict.fromkeys(names)
         recipient = self._table.get(recipient_name)
-        if recipient is not None and recipient.news.state is not MemberState.ALIVE:
+        if recipient is not None and recipient.record.state is not MemberState.ALIVE:
             chosen[recipient_name] = None
         filler = self._next_filler()
         if filler is not None:
             chosen[filler] = None
         held = (self._table.get(name) for name in chosen)
-        known = [member.news for member in held if member is not None]
-        return [self._own, *(news for news in known if news.incarnation > 0)]
+        known = [member.record for member in held if member is not None]
+        return [self._own, *(record for record in known if record.incarnation > 0)]
 
     def _next_filler(self) -> str | None:
         """Return one name in turn, which repairs news that was lost."""
         if not self._filler:
-            self._filler = [member.news.name for member in self._table]
+            self._filler = [member.record.name for member in self._table]
             self._random.shuffle(self._filler)
         return self._filler.pop() if self._filler else None
--- a/chestnuthall/core/membership/_news.py
+++ b/chestnuthall/core/membership/_records.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MemberNews:
+class MemberRecord:
     """What is said about one instance in one of its incarnations.
 
     Only the instance itself raises its incarnation. Incarnation 0 stands for
@@ -36,13 +36,13 @@
     incarnation: int
 
 
-def replaces(offered: MemberNews, held: MemberNews) -> bool:
+def replaces(offered: MemberRecord, held: MemberRecord) -> bool:
     """Return whether offered news about an instance replaces the news held.
 
     Examples
     --------
-    >>> alive = MemberNews("a", "127.0.0.1:1", "z", MemberState.ALIVE, 4)
-    >>> suspect = MemberNews("a", "127.0.0.1:1", "z", MemberState.SUSPECT, 4)
+    >>> alive = MemberRecord("a", "127.0.0.1:1", "z", MemberState.ALIVE, 4)
+    >>> suspect = MemberRecord("a", "127.0.0.1:1", "z", MemberState.SUSPECT, 4)
     >>> replaces(suspect, alive), replaces(alive, suspect)
     (True, False)
     """
--- a/chestnuthall/core/membership/_table.py
+++ b/chestnuthall/core/membership/_table.py
@@ -6,7 +6,7 @@
 from enum import Enum
 from random import Random
 
-from chestnuthall.core.membership._news import FleetCounts, MemberNews, MemberState
+from chestnuthall.core.membership._records import FleetCounts, MemberRecord, MemberState
 
 
 class Standing(Enum):
@@ -27,7 +27,7 @@
     called it leaving; a later incarnation outdates the list.
     """
 
-    news: MemberNews
+    record: MemberRecord
     is_listed: bool = False
     leaving_incarnation: int | None = None
     listed_address: str = ""
@@ -40,19 +40,19 @@
     @property
     def is_dead(self) -> bool:
         """Whether the instance does not answer and was removed."""
-        return self.news.state is MemberState.DEAD
+        return self.record.state is MemberState.DEAD
 
     @property
     def is_joining(self) -> bool:
         """Whether only the platform's list tells of the instance."""
-        return self.news.incarnation == 0 and not self.is_dead
+        return self.record.incarnation == 0 and not self.is_dead
 
     @property
     def is_leaving(self) -> bool:
         """Whether the instance or the platform's list says that it leaves."""
-        if self.news.state is MemberState.LEAVING:
+        if self.record.state is MemberState.LEAVING:
             return True
-        return self.leaving_incarnation == self.news.incarnation
+        return self.leaving_incarnation == self.record.incarnation
 
     @property
     def standing(self) -> Standing:
@@ -68,7 +68,7 @@
         """The address to try; the list may know a newer one of a dead instance."""
         if self.is_dead and self.listed_address:
             return self.listed_address
-        return self.news.address
+        return self.record.address
 
 
 class MemberTable:
@@ -90,7 +90,7 @@
 
     def add(self, member: Member) -> None:
         """Add an instance at a random place of the probe order."""
-        name = member.news.name
+        name = member.record.name
         self._members[name] = member
         index = self._random.randint(self._n_probed, len(self._order))
         self._order.insert(index, name)
@@ -117,7 +117,7 @@
         return None
 
     def _start_round(self) -> None:
-        self._order = [member.news.name for member in self]
+        self._order = [member.record.name for member in self]
         self._random.shuffle(self._order)
         self._n_probed = 0
 
@@ -131,9 +131,9 @@
         able = [
             member
             for member in self
-            if member.news.state is MemberState.ALIVE
+            if member.record.state is MemberState.ALIVE
             and not member.is_joining
-            and member.news.name != target_name
+            and member.record.name != target_name
         ]
         return self._random.sample(able, min(n, len(able)))
 
--- a/chestnuthall/services/_membership.py
+++ b/chestnuthall/services/_membership.py
@@ -10,24 +10,24 @@
 
 from chestnuthall.core.fanout import PartialAnswer
 from chestnuthall.core.membership import (
-    AddressTaken,
+    AddressReused,
     CountsChanged,
+    DigestReceived,
     FleetCounts,
+    IndirectProbe,
+    InstanceListRead,
     LeaveAnnounced,
     LeaveFinished,
     ListedInstance,
-    ListRead,
-    MemberNews,
+    MemberRecord,
     MembershipAction,
     MembershipEvent,
     MembershipMachine,
     MembershipSettings,
     MemberState,
-    NewsReceived,
     Probe,
     ProbeAnswered,
     ProbeFailed,
-    ProbeThrough,
     Superseded,
     Tick,
 )
@@ -104,7 +104,7 @@
         # than that of its predecessor, without any stored state.
         incarnation = int(clock.wall_ms())
         self._machine = MembershipMachine(
-            MemberNews(
+            MemberRecord(
                 identity.name,
                 identity.peer_address,
                 identity.zone,
@@ -155,7 +155,7 @@
 
     def members(self) -> tuple[MemberUpdate, ...]:
         """Return the other instances that are not known to be dead."""
-        return tuple(_update_of(news) for news in self._machine.members())
+        return tuple(_update_of(record) for record in self._machine.members())
 
     def digest(self, recipient: str = "") -> PeerDigest:
         """Return what this instance tells a peer; its size is bounded."""
@@ -166,7 +166,7 @@
             incarnation=self._machine.own.incarnation,
             configuration_revision=self._configuration.revision,
             configuration_digest="" if in_force is None else in_force.digest,
-            members=tuple(map(_update_of, self._machine.take_news(recipient))),
+            members=tuple(map(_update_of, self._machine.select_updates(recipient))),
         )
         for part in self._parts:
             digest = part.fill(digest)
@@ -241,7 +241,7 @@
             for item in entries
             if item.role is InstanceRole.ENTRY
         )
-        self._handle(ListRead(self._clock.now_ms(), listed))
+        self._handle(InstanceListRead(self._clock.now_ms(), listed))
 
     def _handle(self, event: MembershipEvent) -> None:
         for action in self._machine.handle(event):
@@ -256,7 +256,7 @@
         self._spawn(self._probe(action))
 
     @_perform.register
-    def _(self, action: ProbeThrough) -> None:
+    def _(self, action: IndirectProbe) -> None:
         self._spawn(self._probe_through(action))
 
     @_perform.register
@@ -289,10 +289,10 @@
         if answer.sender == action.name:
             self._handle(ProbeAnswered(now_ms, action.probe_id))
         else:
-            self._handle(AddressTaken(now_ms, action.probe_id))
+            self._handle(AddressReused(now_ms, action.probe_id))
         self._take_in(answer)
 
-    async def _probe_through(self, action: ProbeThrough) -> None:
+    async def _probe_through(self, action: IndirectProbe) -> None:
         is_alive = await self._peers.probe_for(
             action.helper_address,
             action.target_address,
@@ -301,7 +301,7 @@
         outcome = ProbeAnswered if is_alive is True else ProbeFailed
         self._handle(outcome(self._clock.now_ms(), action.probe_id))
 
-    async def _exchange_with(self, peer: MemberNews) -> None:
+    async def _exchange_with(self, peer: MemberRecord) -> None:
         answer = await self._peers.exchange(
             peer.address, self.digest(peer.name), self._settings.probe_timeout_ms
         )
@@ -309,8 +309,8 @@
             self._take_in(answer)
 
     def _take_in(self, digest: PeerDigest) -> None:
-        sender, news = _read_news(digest)
-        self._handle(NewsReceived(self._clock.now_ms(), sender, news))
+        sender, records = _read_records(digest)
+        self._handle(DigestReceived(self._clock.now_ms(), sender, records))
         for part in self._parts:
             part.absorb(digest)
         # The answer to the peer does not wait for the document, because a slow
@@ -331,18 +331,18 @@
             self._configuration.offer_text(fetched.text, f"peer {digest.sender}")
 
 
-def _update_of(news: MemberNews) -> MemberUpdate:
+def _update_of(record: MemberRecord) -> MemberUpdate:
     return MemberUpdate(
-        news.name, news.address, news.zone, news.state.value, news.incarnation
+        record.name, record.address, record.zone, record.state.value, record.incarnation
     )
 
 
-def _read_news(digest: PeerDigest) -> tuple[MemberNews, tuple[MemberNews, ...]]:
+def _read_records(digest: PeerDigest) -> tuple[MemberRecord, tuple[MemberRecord, ...]]:
     """Return what the sender says of itself, and its other news.
 
     A state that this version does not know is left out.
     """
-    sender = MemberNews(
+    sender = MemberRecord(
         digest.sender, digest.sender_address, "", MemberState.ALIVE, digest.incarnation
     )
     others = []
@@ -350,9 +350,11 @@
         state = _STATES.get(item.state)
         if state is None:
             continue
-        news = MemberNews(item.name, item.address, item.zone, state, item.incarnation)
-        if news.name == digest.sender:
-            sender = news
+        record = MemberRecord(
+            item.name, item.address, item.zone, state, item.incarnation
+        )
+        if record.name == digest.sender:
+            sender = record
         else:
-            others.append(news)
+            others.append(record)
     return sender, tuple(others)
