--- a/chestnuthall/core/claims/__init__.py
+++ b/chestnuthall/core/claims/__init__.py
@@ -1,24 +1,24 @@
 """Claims of idempotency keys in ledger partitions."""
 
 from chestnuthall.core.claims._events import (
-    AbandonRequested,
-    AwaitTurn,
+    AwaitWriteSlot,
+    ClaimAbandoned,
     ClaimAction,
     ClaimEvent,
     ClaimRequested,
     ClaimWithdrawn,
+    CompleteClaim,
     Delay,
     DelayEnded,
     PartitionRead,
     ReadFailed,
     ReadPartition,
-    Settle,
-    TurnGranted,
     WriteConflicted,
     WriteFailed,
-    WriteLost,
     WritePartition,
+    WriteSlotGranted,
     WriteSucceeded,
+    WriteUnresolved,
 )
 from chestnuthall.core.claims._ledger import (
     EMPTY_PARTITION,
@@ -31,14 +31,14 @@
     entry_size_bytes,
     remove_claims,
 )
-from chestnuthall.core.claims._machine import PartitionClaims, Phase
-from chestnuthall.core.claims._pacing import StoreBreaker, WriteBudget
-from chestnuthall.core.claims._partitions import partition_name_of
+from chestnuthall.core.claims._machine import PartitionClaimMachine, Phase
+from chestnuthall.core.claims._pacing import StoreCircuitBreaker, WriteRateLimiter
+from chestnuthall.core.claims._partitions import partition_name
 
 __all__ = [
     "EMPTY_PARTITION",
-    "AbandonRequested",
-    "AwaitTurn",
+    "ClaimAbandoned",
+    "AwaitWriteSlot",
     "ClaimAction",
     "ClaimDecision",
     "ClaimEntry",
@@ -50,22 +50,22 @@
     "KeyClaim",
     "LedgerPartition",
     "LedgerSettings",
-    "PartitionClaims",
+    "PartitionClaimMachine",
     "PartitionRead",
     "Phase",
     "ReadFailed",
     "ReadPartition",
-    "Settle",
-    "StoreBreaker",
-    "TurnGranted",
-    "WriteBudget",
+    "CompleteClaim",
+    "StoreCircuitBreaker",
+    "WriteSlotGranted",
+    "WriteRateLimiter",
     "WriteConflicted",
     "WriteFailed",
-    "WriteLost",
+    "WriteUnresolved",
     "WritePartition",
     "WriteSucceeded",
     "add_claims",
     "entry_size_bytes",
-    "partition_name_of",
+    "partition_name",
     "remove_claims",
 ]
--- a/chestnuthall/core/claims/_events.py
+++ b/chestnuthall/core/claims/_events.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AbandonRequested:
+class ClaimAbandoned:
     """The holder of a claim will never dispatch it."""
 
     wall_ms: float
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TurnGranted:
+class WriteSlotGranted:
     """The rate budget allows one write now."""
 
     wall_ms: float
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WriteLost:
+class WriteUnresolved:
     """The write may have taken effect, or may still do so."""
 
     wall_ms: float
@@ -99,13 +99,13 @@
 ClaimEvent: TypeAlias = (
     ClaimRequested
     | ClaimWithdrawn
-    | AbandonRequested
+    | ClaimAbandoned
     | PartitionRead
     | ReadFailed
-    | TurnGranted
+    | WriteSlotGranted
     | WriteSucceeded
     | WriteConflicted
-    | WriteLost
+    | WriteUnresolved
     | WriteFailed
     | DelayEnded
 )
@@ -117,8 +117,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AwaitTurn:
-    """Wait for the rate budget; answered by ``TurnGranted``."""
+class AwaitWriteSlot:
+    """Wait for the rate budget; answered by ``WriteSlotGranted``."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -137,11 +137,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Settle:
+class CompleteClaim:
     """The claim of a token is held, or refused with a failure."""
 
     token: str
     failure: Failure | None
 
 
-ClaimAction: TypeAlias = ReadPartition | AwaitTurn | WritePartition | Delay | Settle
+ClaimAction: TypeAlias = (
+    ReadPartition | AwaitWriteSlot | WritePartition | Delay | CompleteClaim
+)
--- a/chestnuthall/core/claims/_machine.py
+++ b/chestnuthall/core/claims/_machine.py
@@ -10,24 +10,24 @@
 from functools import singledispatch
 
 from chestnuthall.core.claims._events import (
-    AbandonRequested,
-    AwaitTurn,
+    AwaitWriteSlot,
+    ClaimAbandoned,
     ClaimAction,
     ClaimEvent,
     ClaimRequested,
     ClaimWithdrawn,
+    CompleteClaim,
     Delay,
     DelayEnded,
     PartitionRead,
     ReadFailed,
     ReadPartition,
-    Settle,
-    TurnGranted,
     WriteConflicted,
     WriteFailed,
-    WriteLost,
     WritePartition,
+    WriteSlotGranted,
     WriteSucceeded,
+    WriteUnresolved,
 )
 from chestnuthall.core.claims._failures import failure_of_decision
 from chestnuthall.core.claims._ledger import (
@@ -68,12 +68,12 @@
 
     IDLE = "idle"
     READING = "reading"
-    AWAITING_TURN = "awaiting_turn"
+    AWAITING_WRITE_SLOT = "awaiting_turn"
     WRITING = "writing"
     DELAYING = "delaying"
 
 
-class PartitionClaims:
+class PartitionClaimMachine:
     """Claims of one instance in one partition.
 
     ``cached`` is the last known version with its content; it saves the read
@@ -111,7 +111,7 @@
         """Apply one event and return what is to be done."""
         return _apply(event, self)
 
-    def forget_cache(self) -> None:
+    def drop_cache(self) -> None:
         """Drop the cached partition to free memory, if no call is under way."""
         if self.phase is Phase.IDLE:
             self.cached = None
@@ -125,8 +125,8 @@
             return self.rest()
         if self.cached is None or self.needs_read:
             return self.begin_read()
-        self.phase = Phase.AWAITING_TURN
-        return [AwaitTurn()]
+        self.phase = Phase.AWAITING_WRITE_SLOT
+        return [AwaitWriteSlot()]
 
     @property
     def has_work(self) -> bool:
@@ -173,16 +173,16 @@
         while len(self.abandons) > N_ABANDONS_MAX:
             del self.abandons[next(iter(self.abandons))]
 
-    def refuse(self, claim: KeyClaim, failure: Failure) -> Settle:
+    def refuse(self, claim: KeyClaim, failure: Failure) -> CompleteClaim:
         """Refuse a claim that waits; it is never dispatched."""
         self.waiting.pop(claim.token, None)
         if claim.token not in self.doubtful:
-            return Settle(claim.token, failure)
+            return CompleteClaim(claim.token, failure)
         # A write that is still on its way may enter the key.
         self.add_abandon(claim)
         if failure.kind.run is RunState.NO:
             failure = CLAIM_UNSETTLED.with_reason(failure.reason)
-        return Settle(claim.token, failure)
+        return CompleteClaim(claim.token, failure)
 
     def refuse_all(self, failure: Failure) -> list[ClaimAction]:
         """Refuse everything that waits, and rest."""
@@ -193,12 +193,12 @@
 
 
 @singledispatch
-def _apply(event: ClaimEvent, claims: PartitionClaims) -> list[ClaimAction]:
+def _apply(event: ClaimEvent, claims: PartitionClaimMachine) -> list[ClaimAction]:
     raise TypeError(f"not an event: {type(event).__name__}")
 
 
 @_apply.register
-def _(event: ClaimRequested, claims: PartitionClaims) -> list[ClaimAction]:
+def _(event: ClaimRequested, claims: PartitionClaimMachine) -> list[ClaimAction]:
     claims.waiting[event.claim.token] = event.claim
     if claims.phase is not Phase.IDLE:
         return []
@@ -208,17 +208,19 @@
 
 
 @_apply.register
-def _(event: AbandonRequested, claims: PartitionClaims) -> list[ClaimAction]:
+def _(event: ClaimAbandoned, claims: PartitionClaimMachine) -> list[ClaimAction]:
     claims.add_abandon(event.claim)
     return claims.advance() if claims.phase is Phase.IDLE else []
 
 
 @_apply.register
-def _(event: ClaimWithdrawn, claims: PartitionClaims) -> list[ClaimAction]:
+def _(event: ClaimWithdrawn, claims: PartitionClaimMachine) -> list[ClaimAction]:
     token = event.claim.token
     if claims.writing.pop(token, None) is not None:
         claims.add_abandon(event.claim)
-        return [Settle(token, CLAIM_UNSETTLED.with_reason("its write was under way"))]
+        return [
+            CompleteClaim(token, CLAIM_UNSETTLED.with_reason("its write was under way"))
+        ]
     if token not in claims.waiting:
         return []
     failure = DEADLINE_PASSED.with_reason(
@@ -228,7 +230,7 @@
 
 
 @_apply.register
-def _(event: PartitionRead, claims: PartitionClaims) -> list[ClaimAction]:
+def _(event: PartitionRead, claims: PartitionClaimMachine) -> list[ClaimAction]:
     if event.version < claims.min_version:
         # The store may answer a read from the past.
         claims.cached = None
@@ -244,7 +246,7 @@
     return [*settled, *refused, *claims.advance()]
 
 
-def _note_read(event: PartitionRead, claims: PartitionClaims) -> None:
+def _note_read(event: PartitionRead, claims: PartitionClaimMachine) -> None:
     if claims.cached is not None:
         is_same = claims.cached[0] == event.version
         claims.n_agreeing_reads = claims.n_agreeing_reads + 1 if is_same else 0
@@ -259,22 +261,24 @@
 
 
 def _settle_held(
-    partition: LedgerPartition, claims: PartitionClaims
+    partition: LedgerPartition, claims: PartitionClaimMachine
 ) -> list[ClaimAction]:
     held = [item for item in claims.waiting.values() if partition.holds(item)]
     for claim in held:
         del claims.waiting[claim.token]
-    return [Settle(claim.token, None) for claim in held]
+    return [CompleteClaim(claim.token, None) for claim in held]
 
 
-def _drop_absent_abandons(partition: LedgerPartition, claims: PartitionClaims) -> None:
+def _drop_absent_abandons(
+    partition: LedgerPartition, claims: PartitionClaimMachine
+) -> None:
     claims.abandons = {
         token: item for token, item in claims.abandons.items() if partition.holds(item)
     }
 
 
 def _refuse_read_for(
-    event: PartitionRead, claims: PartitionClaims
+    event: PartitionRead, claims: PartitionClaimMachine
 ) -> list[ClaimAction]:
     base = remove_claims(event.partition, claims.abandons.values())
     group = _first_of_each_key(claims)
@@ -287,7 +291,7 @@
     return refused
 
 
-def _first_of_each_key(claims: PartitionClaims) -> tuple[KeyClaim, ...]:
+def _first_of_each_key(claims: PartitionClaimMachine) -> tuple[KeyClaim, ...]:
     """Return what goes into one write.
 
     A second claim of the same key waits until the first one's write settled,
@@ -300,12 +304,12 @@
 
 
 @_apply.register
-def _(event: ReadFailed, claims: PartitionClaims) -> list[ClaimAction]:
+def _(event: ReadFailed, claims: PartitionClaimMachine) -> list[ClaimAction]:
     return claims.refuse_all(event.failure)
 
 
 @_apply.register
-def _(event: TurnGranted, claims: PartitionClaims) -> list[ClaimAction]:
+def _(event: WriteSlotGranted, claims: PartitionClaimMachine) -> list[ClaimAction]:
     if not claims.has_work:
         return claims.rest()
     age_ms = event.wall_ms - claims.read_wall_ms
@@ -316,7 +320,7 @@
     return _write(event.wall_ms, claims)
 
 
-def _write(wall_ms: float, claims: PartitionClaims) -> list[ClaimAction]:
+def _write(wall_ms: float, claims: PartitionClaimMachine) -> list[ClaimAction]:
     """Write everything that can be claimed, on condition of the cached version."""
     assert claims.cached is not None
     claims.has_turn = False
@@ -339,7 +343,7 @@
 
 
 @_apply.register
-def _(event: WriteSucceeded, claims: PartitionClaims) -> list[ClaimAction]:
+def _(event: WriteSucceeded, claims: PartitionClaimMachine) -> list[ClaimAction]:
     assert claims.written_partition is not None
     claims.cached = (event.version, claims.written_partition)
     claims.min_version = event.version
@@ -348,7 +352,7 @@
     claims.doubtful.clear()
     claims.n_retries = 0
     claims.n_rate_limited = 0
-    settled = [Settle(token, None) for token in claims.writing]
+    settled = [CompleteClaim(token, None) for token in claims.writing]
     claims.writing = {}
     for token in claims.written_abandons:
         claims.abandons.pop(token, None)
@@ -357,7 +361,7 @@
 
 
 @_apply.register
-def _(event: WriteConflicted, claims: PartitionClaims) -> list[ClaimAction]:
+def _(event: WriteConflicted, claims: PartitionClaimMachine) -> list[ClaimAction]:
     assert claims.cached is not None
     claims.min_version = claims.cached[0] + 1
     claims.cached = None
@@ -368,7 +372,7 @@
 
 
 @_apply.register
-def _(event: WriteLost, claims: PartitionClaims) -> list[ClaimAction]:
+def _(event: WriteUnresolved, claims: PartitionClaimMachine) -> list[ClaimAction]:
     assert claims.cached is not None
     claims.lost_version = claims.cached[0]
     claims.doubtful.update(claims.writing)
@@ -378,7 +382,7 @@
 
 
 @_apply.register
-def _(event: WriteFailed, claims: PartitionClaims) -> list[ClaimAction]:
+def _(event: WriteFailed, claims: PartitionClaimMachine) -> list[ClaimAction]:
     claims.take_back_written()
     if event.failure.kind is not RATE_LIMITED:
         return claims.refuse_all(event.failure)
@@ -391,5 +395,5 @@
 
 
 @_apply.register
-def _(event: DelayEnded, claims: PartitionClaims) -> list[ClaimAction]:
+def _(event: DelayEnded, claims: PartitionClaimMachine) -> list[ClaimAction]:
     return claims.advance()
--- a/chestnuthall/core/claims/_pacing.py
+++ b/chestnuthall/core/claims/_pacing.py
@@ -1,14 +1,14 @@
 """Limits on the calls that claims make to the object store."""
 
 
-class WriteBudget:
+class WriteRateLimiter:
     """Rate budget for writes, shared by all partitions of an instance.
 
     Turns are spaced evenly once the burst is used up.
 
     Examples
     --------
-    >>> budget = WriteBudget(n_burst=1)
+    >>> budget = WriteRateLimiter(n_burst=1)
     >>> [budget.reserve(0.0, 10.0) for _ in range(3)]
     [0.0, 100.0, 200.0]
     """
@@ -26,7 +26,7 @@
         return max(0.0, turn_ms - now_ms)
 
 
-class StoreBreaker:
+class StoreCircuitBreaker:
     """Fails claims at once while the store is known to be down.
 
     After a failure calls are held back for a delay that doubles; then a single
@@ -45,7 +45,7 @@
         """Whether the last call failed."""
         return self._delay_ms > 0.0
 
-    def allows(self, now_ms: float) -> bool:
+    def try_acquire(self, now_ms: float) -> bool:
         """Return whether a call may be made; the first one probes."""
         if not self.is_open:
             return True
@@ -55,7 +55,7 @@
         self._blocked_until_ms = now_ms + self._delay_ms
         return True
 
-    def note_failure(self, now_ms: float) -> None:
+    def record_failure(self, now_ms: float) -> None:
         """Note that the store did not answer.
 
         Calls that were under way together count as one failure.
@@ -67,7 +67,7 @@
         self._delay_ms = min(doubled_ms, self._longest_ms)
         self._blocked_until_ms = now_ms + self._delay_ms
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """Note that the store answered."""
         self._is_probing = False
         self._delay_ms = 0.0
--- a/chestnuthall/core/claims/_partitions.py
+++ b/chestnuthall/core/claims/_partitions.py
@@ -3,12 +3,12 @@
 from zlib import crc32
 
 
-def partition_name_of(idempotency_key: str, n_partitions: int) -> str:
+def partition_name(idempotency_key: str, n_partitions: int) -> str:
     """Return the name of the ledger partition that holds a key.
 
     Examples
     --------
-    >>> partition_name_of("hold-17", 64) == partition_name_of("hold-17", 64)
+    >>> partition_name("hold-17", 64) == partition_name("hold-17", 64)
     True
     """
     return f"p{crc32(idempotency_key.encode()) % n_partitions:04d}"
--- a/chestnuthall/core/claims/tests/test_fuzz.py
+++ b/chestnuthall/core/claims/tests/test_fuzz.py
@@ -37,7 +37,7 @@
     def start(self):
         self.now_ms = 1_000.0
         self.versions = [(0, core.EMPTY_PARTITION)]
-        self.writers = [core.PartitionClaims(LEDGER) for _ in range(3)]
+        self.writers = [core.PartitionClaimMachine(LEDGER) for _ in range(3)]
         self.calls = [None, None, None]
         self.late = []
         self.claims = {}
@@ -54,7 +54,7 @@
 
     def take(self, index, actions):
         for action in actions:
-            if isinstance(action, core.Settle):
+            if isinstance(action, core.CompleteClaim):
                 self.settle(index, action)
             else:
                 assert self.calls[index] is None, "two calls under way"
@@ -97,7 +97,7 @@
         self.holders.remove(holder)
         index, claim = holder
         if is_abandoned:
-            event = core.AbandonRequested(self.clock(index), claim)
+            event = core.ClaimAbandoned(self.clock(index), claim)
             self.take(index, self.writers[index].handle(event))
             return
         assert claim.token not in self.refused_not_run
@@ -117,8 +117,8 @@
             self.answer_read(index, outcome)
         elif isinstance(call, core.WritePartition):
             self.answer_write(index, call, outcome)
-        elif isinstance(call, core.AwaitTurn):
-            self.feed(index, core.TurnGranted(wall_ms))
+        elif isinstance(call, core.AwaitWriteSlot):
+            self.feed(index, core.WriteSlotGranted(wall_ms))
         elif isinstance(call, core.Delay):
             self.feed(index, core.DelayEnded(wall_ms))
 
@@ -147,7 +147,7 @@
                 self.land(call)
             elif outcome == "late":
                 self.late.append(call)
-            self.feed(index, core.WriteLost(wall_ms))
+            self.feed(index, core.WriteUnresolved(wall_ms))
 
     def land(self, write):
         """Apply a write; return whether its condition held."""
@@ -174,7 +174,7 @@
         if isinstance(self.calls[index], core.WritePartition):
             self.late.append(self.calls[index])
         self.calls[index] = None
-        self.writers[index] = core.PartitionClaims(LEDGER)
+        self.writers[index] = core.PartitionClaimMachine(LEDGER)
         self.waiting[index] = {}
         self.holders = [item for item in self.holders if item[0] != index]
 
--- a/chestnuthall/core/claims/tests/test_machine.py
+++ b/chestnuthall/core/claims/tests/test_machine.py
@@ -20,17 +20,17 @@
     "ask-again": core.ClaimRequested(WALL_MS, A2),
     "ask-b": core.ClaimRequested(WALL_MS, B),
     "withdraw": core.ClaimWithdrawn(WALL_MS, A),
-    "abandon": core.AbandonRequested(WALL_MS, A),
-    "abandon-other": core.AbandonRequested(WALL_MS, A2),
+    "abandon": core.ClaimAbandoned(WALL_MS, A),
+    "abandon-other": core.ClaimAbandoned(WALL_MS, A2),
     "read-empty": core.PartitionRead(WALL_MS, 0, core.EMPTY_PARTITION),
     "read-a": core.PartitionRead(WALL_MS, 1, HELD_A),
     "read-both": core.PartitionRead(WALL_MS, 1, HELD_BOTH),
     "read-failed": core.ReadFailed(WALL_MS, DOWN),
-    "turn": core.TurnGranted(WALL_MS),
-    "late-turn": core.TurnGranted(WALL_MS + 50.0),
+    "turn": core.WriteSlotGranted(WALL_MS),
+    "late-turn": core.WriteSlotGranted(WALL_MS + 50.0),
     "written": core.WriteSucceeded(WALL_MS, 1),
     "conflict": core.WriteConflicted(WALL_MS, 0.5),
-    "lost": core.WriteLost(WALL_MS),
+    "lost": core.WriteUnresolved(WALL_MS),
     "refused": core.WriteFailed(WALL_MS, DOWN),
     "limited": core.WriteFailed(WALL_MS, BUSY),
     "waited": core.DelayEnded(WALL_MS),
@@ -42,7 +42,7 @@
     names = []
     for action in actions:
         name = type(action).__name__
-        if name == "Settle":
+        if name == "CompleteClaim":
             name = action.failure.kind.name if action.failure else "HELD"
         elif name == "WritePartition":
             keys = " ".join(sorted(action.partition.entries))
@@ -55,7 +55,7 @@
 HOLD = f"{WRITE} written"
 CASES = {
     "claim": (HOLD, ["HELD"]),
-    "cache-saves-read": (f"{HOLD} ask-b", ["AwaitTurn"]),
+    "cache-saves-read": (f"{HOLD} ask-b", ["AwaitWriteSlot"]),
     "no-cache-after-conflict": (f"{WRITE} conflict", ["ReadPartition"]),
     "grouped-with-next-write": (f"{WRITE} ask-b", []),
     "lost-and-landed": (f"{WRITE} lost read-a", ["HELD"]),
@@ -69,7 +69,7 @@
     "same-key-refused": (f"{HOLD} ask-again turn read-a", ["KEY_ALREADY_CLAIMED"]),
     "read-refuses-what-it-was-for": (
         "ask ask-b read-both",
-        ["KEY_ALREADY_CLAIMED", "AwaitTurn"],
+        ["KEY_ALREADY_CLAIMED", "AwaitWriteSlot"],
     ),
     "contended-cache-not-trusted": (
         f"{WRITE} conflict read-a ask-b",
@@ -95,7 +95,7 @@
 @pytest.mark.parametrize(("text", "expected"), CASES.values(), ids=CASES.keys())
 def test_last_actions(text, expected):
     """Each step must ask for exactly the calls that it needs."""
-    claims = core.PartitionClaims(core.LedgerSettings())
+    claims = core.PartitionClaimMachine(core.LedgerSettings())
     for name in text.split():
         actions = claims.handle(EVENTS[name])
     assert names_of(actions)[: len(expected) or None] == expected
@@ -129,13 +129,13 @@
 
 def test_breaker_probes_with_one_call():
     """While the store is down only one call an interval may be made."""
-    breaker = core.StoreBreaker(first_ms=100.0, longest_ms=400.0)
-    breaker.note_failure(0.0)
+    breaker = core.StoreCircuitBreaker(first_ms=100.0, longest_ms=400.0)
+    breaker.record_failure(0.0)
     allowed = []
     for now_ms in range(0, 2_000, 10):
-        if breaker.allows(float(now_ms)):
+        if breaker.try_acquire(float(now_ms)):
             allowed.append(now_ms)
-            breaker.note_failure(float(now_ms))
-    breaker.note_success()
+            breaker.record_failure(float(now_ms))
+    breaker.record_success()
     assert allowed == [100, 300, 700, 1100, 1500, 1900]
-    assert breaker.allows(1_901.0)
+    assert breaker.try_acquire(1_901.0)
--- a/chestnuthall/services/_claims.py
+++ b/chestnuthall/services/_claims.py
@@ -10,32 +10,32 @@
 
 from chestnuthall.core.claims import (
     EMPTY_PARTITION,
-    AbandonRequested,
-    AwaitTurn,
+    AwaitWriteSlot,
+    ClaimAbandoned,
     ClaimAction,
     ClaimEvent,
     ClaimRequested,
     ClaimWithdrawn,
+    CompleteClaim,
     Delay,
     DelayEnded,
     KeyClaim,
     LedgerPartition,
     LedgerSettings,
-    PartitionClaims,
+    PartitionClaimMachine,
     PartitionRead,
     Phase,
     ReadFailed,
     ReadPartition,
-    Settle,
-    StoreBreaker,
-    TurnGranted,
-    WriteBudget,
+    StoreCircuitBreaker,
     WriteConflicted,
     WriteFailed,
-    WriteLost,
     WritePartition,
+    WriteRateLimiter,
+    WriteSlotGranted,
     WriteSucceeded,
-    partition_name_of,
+    WriteUnresolved,
+    partition_name,
 )
 from chestnuthall.core.model import MutationRequest
 from chestnuthall.core.results import (
@@ -99,11 +99,11 @@
         self._settings = settings
         self._n_instances = n_instances
         self._random = random or Random()
-        self._budget = WriteBudget(N_BURST_WRITES)
-        self._breaker = StoreBreaker()
+        self._budget = WriteRateLimiter(N_BURST_WRITES)
+        self._breaker = StoreCircuitBreaker()
         self._turns: deque[str] = deque()
         self._is_pacing = False
-        self._partitions: dict[str, PartitionClaims] = {}
+        self._partitions: dict[str, PartitionClaimMachine] = {}
         self._waiters: dict[str, asyncio.Future[Failure | None]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -133,9 +133,7 @@
         Best effort: returns at once, and while the store is down the key stays
         claimed.
         """
-        self._handle(
-            self._name_of(claim), AbandonRequested(self._clock.wall_ms(), claim)
-        )
+        self._handle(self._name_of(claim), ClaimAbandoned(self._clock.wall_ms(), claim))
 
     async def close(self) -> None:
         """Stop the calls that are under way."""
@@ -144,7 +142,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def _name_of(self, claim: KeyClaim) -> str:
-        return partition_name_of(claim.idempotency_key, self._settings.n_partitions)
+        return partition_name(claim.idempotency_key, self._settings.n_partitions)
 
     async def _wait(
         self,
@@ -178,7 +176,7 @@
     def _handle(self, name: str, event: ClaimEvent) -> None:
         partition = self._partitions.get(name)
         if partition is None:
-            partition = self._partitions[name] = PartitionClaims(self._settings)
+            partition = self._partitions[name] = PartitionClaimMachine(self._settings)
         for action in partition.handle(event):
             self._perform(action, name)
         if partition.phase is Phase.IDLE:
@@ -196,7 +194,7 @@
         for item, n in caches:
             if n_entries <= N_CACHED_ENTRIES_MAX:
                 return
-            item.forget_cache()
+            item.drop_cache()
             n_entries -= n
 
     @singledispatchmethod
@@ -204,7 +202,7 @@
         raise TypeError(f"not an action: {type(action).__name__}")
 
     @_perform.register
-    def _(self, action: Settle, name: str) -> None:
+    def _(self, action: CompleteClaim, name: str) -> None:
         waiter = self._waiters.pop(action.token, None)
         if waiter is not None and not waiter.done():
             waiter.set_result(action.failure)
@@ -214,7 +212,7 @@
         self._start(self._read(name))
 
     @_perform.register
-    def _(self, action: AwaitTurn, name: str) -> None:
+    def _(self, action: AwaitWriteSlot, name: str) -> None:
         self._turns.append(name)
         if not self._is_pacing:
             self._is_pacing = True
@@ -238,7 +236,7 @@
             wait_ms = self._budget.reserve(now_ms, self._rate_per_s())
             if wait_ms > 0.0:
                 await self._clock.sleep_ms(wait_ms)
-        self._handle(name, TurnGranted(self._clock.wall_ms()))
+        self._handle(name, WriteSlotGranted(self._clock.wall_ms()))
 
     def _is_overloaded(self, name: str) -> bool:
         """Return whether a new turn would come too late to be of use."""
@@ -275,7 +273,7 @@
         self._handle(name, await self._read_event(name))
 
     async def _read_event(self, name: str) -> ClaimEvent:
-        if not self._breaker.allows(self._clock.now_ms()):
+        if not self._breaker.try_acquire(self._clock.now_ms()):
             failure = STORE_UNAVAILABLE.with_reason(
                 "the last calls to the store failed"
             )
@@ -283,15 +281,15 @@
         stored = await self._store.get(CLAIMS_KIND, name, STORE_TIMEOUT_MS)
         wall_ms = self._clock.wall_ms()
         if isinstance(stored, StoredObject):
-            self._breaker.note_success()
+            self._breaker.record_success()
             decoded = self._codec.decode(stored.value)
             if isinstance(decoded, Failure):
                 return ReadFailed(wall_ms, decoded)
             return PartitionRead(wall_ms, stored.version, decoded)
         if stored.kind is OBJECT_NOT_FOUND:
-            self._breaker.note_success()
+            self._breaker.record_success()
             return PartitionRead(wall_ms, 0, EMPTY_PARTITION)
-        self._breaker.note_failure(self._clock.now_ms())
+        self._breaker.record_failure(self._clock.now_ms())
         return ReadFailed(wall_ms, stored)
 
     async def _write(self, name: str, action: WritePartition) -> None:
@@ -315,7 +313,7 @@
         if written.kind is OBJECT_CONFLICT:
             return WriteConflicted(wall_ms, self._random.random())
         if written.kind is STORE_WRITE_UNKNOWN:
-            return WriteLost(wall_ms)
+            return WriteUnresolved(wall_ms)
         if written.kind is not RATE_LIMITED:
-            self._breaker.note_failure(self._clock.now_ms())
+            self._breaker.record_failure(self._clock.now_ms())
         return WriteFailed(wall_ms, written)
