--- a/chestnuthall/cli/_document_commands.py
+++ b/chestnuthall/cli/_document_commands.py
@@ -27,7 +27,7 @@
     open_session,
     read_file,
 )
-from chestnuthall.core.configuration import InForce, RevisionRecord, differences
+from chestnuthall.core.configuration import RevisionRecord, StoredRevision, differences
 from chestnuthall.core.model import EnvironmentDocument
 from chestnuthall.core.results import Failure
 
@@ -214,11 +214,11 @@
     return await report_outcome(session, outcome)
 
 
-def _is_same(base: InForce | None, text: str) -> bool:
+def _is_same(base: StoredRevision | None, text: str) -> bool:
     return base is not None and base.record.digest == digest_of(text)
 
 
-def _already_in_force(session: Session, base: InForce | None) -> ExitCode:
+def _already_in_force(session: Session, base: StoredRevision | None) -> ExitCode:
     assert base is not None
     record = base.record
     session.output.data({"accepted": False, "revision": record.revision})
@@ -349,7 +349,7 @@
     found = await session.book.history(environment)
     if isinstance(found, Failure):
         return output.fail_with(found)
-    record = found.of_revision(found.last_revision if revision is None else revision)
+    record = found.find(found.last_revision if revision is None else revision)
     if record is None or not record.text:
         return output.fail(
             ExitCode.NOT_FOUND, f"{environment} has no text of that revision"
--- a/chestnuthall/cli/_promotion.py
+++ b/chestnuthall/cli/_promotion.py
@@ -60,7 +60,9 @@
     rows = [
         (
             item.name,
-            "yes" if item in found.proving else f"no, revision {item.revision}",
+            "yes"
+            if item in found.instances_in_force
+            else f"no, revision {item.revision}",
             shown_time(item.since_wall_ms),
             item.n_requests,
             ", ".join(f"{name} {n}" for name, n in item.n_refused_by_code) or "none",
--- a/chestnuthall/core/configuration/_follower.py
+++ b/chestnuthall/core/configuration/_follower.py
@@ -25,12 +25,12 @@
 BURST_PAUSE_MS = 700.0
 
 
-def safe_watch_timeout_ms(settle_ms: float) -> float:
+def safe_watch_timeout_ms(recovery_ms: float) -> float:
     """Return the longest watch after which a change is still in force in time.
 
     A store that goes silent keeps the connection of a watch alive, and the watch
     finds nothing after the store's return. What changes from then on has to be in
-    force once the store has been stable for ``settle_ms``. A watch begun as the
+    force once the store has been stable for ``recovery_ms``. A watch begun as the
     outage began ends in time if the outage takes as long as the reads after it.
 
     Examples
@@ -38,11 +38,11 @@
     >>> safe_watch_timeout_ms(4_000.0)
     4000.0
     """
-    return max(WATCH_INTERVAL_MIN_MS, settle_ms)
+    return max(WATCH_INTERVAL_MIN_MS, recovery_ms)
 
 
 @dataclass(frozen=True, slots=True)
-class Loaded:
+class ObjectRead:
     """The object was read; version 0 means that there is none."""
 
     now_ms: float
@@ -60,21 +60,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WatchTrimmed:
+class WatchHistoryTrimmed:
     """The store no longer has the changes after the version asked for."""
 
     now_ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class StoreFailed:
+class StoreCallFailed:
     """The store did not answer."""
 
     now_ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class PauseEnded:
+class DelayEnded:
     """The pause that was asked for is over.
 
     ``confirmed_ms`` is the time up to which the store, or a peer that asked
@@ -86,11 +86,13 @@
     confirmed_ms: float
 
 
-FollowEvent: TypeAlias = Loaded | WatchEnded | WatchTrimmed | StoreFailed | PauseEnded
+FollowerEvent: TypeAlias = (
+    ObjectRead | WatchEnded | WatchHistoryTrimmed | StoreCallFailed | DelayEnded
+)
 
 
 @dataclass(frozen=True, slots=True)
-class Load:
+class ReadObject:
     """Read the object."""
 
 
@@ -102,16 +104,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pause:
+class Delay:
     """Sleep before the next step."""
 
     duration_ms: float
 
 
-FollowAction: TypeAlias = Load | Watch | Pause
+FollowerAction: TypeAlias = ReadObject | Watch | Delay
 
 
-class StoreFollower:
+class ObjectFollower:
     """Decides the next call to the store; one call or pause at a time.
 
     No two calls follow each other without a pause, except a watch after a
@@ -125,15 +127,15 @@
         self.loaded_ms = float("-inf")
         self.n_failures = 0
 
-    def handle(self, event: FollowEvent) -> FollowAction:
+    def handle(self, event: FollowerEvent) -> FollowerAction:
         """Apply one event and return the next step."""
         return _apply(event, self)
 
-    def pause(self) -> Pause:
+    def next_delay(self) -> Delay:
         """Return a pause that grows with the failures in a row."""
         self.n_failures += 1
         doubled: float = PAUSE_FIRST_MS * 2.0 ** min(self.n_failures - 1, 8)
-        return Pause(min(doubled, PAUSE_MAX_MS))
+        return Delay(min(doubled, PAUSE_MAX_MS))
 
     def watch(self, now_ms: float) -> Watch:
         """Watch from the version that is known, so that no change is missed."""
@@ -142,49 +144,49 @@
 
 
 @singledispatch
-def _apply(event: FollowEvent, follower: StoreFollower) -> FollowAction:
+def _apply(event: FollowerEvent, follower: ObjectFollower) -> FollowerAction:
     raise TypeError(f"not an event: {type(event).__name__}")
 
 
 @_apply.register
-def _(event: Loaded, follower: StoreFollower) -> FollowAction:
+def _(event: ObjectRead, follower: ObjectFollower) -> FollowerAction:
     follower.version = event.version
     follower.loaded_ms = event.now_ms
     # The role is looked up when the pause ends.
-    return Pause(0.0)
+    return Delay(0.0)
 
 
 @_apply.register
-def _(event: WatchEnded, follower: StoreFollower) -> FollowAction:
+def _(event: WatchEnded, follower: ObjectFollower) -> FollowerAction:
     follower.version = max(event.version, follower.version or 0)
     elapsed_ms = event.now_ms - follower.watch_started_ms
     if event.is_empty and elapsed_ms < follower.watch_timeout_ms / 2.0:
         # A store that ends watches early must not be asked in a tight loop.
-        return follower.pause()
+        return follower.next_delay()
     follower.n_failures = 0
     if event.n_changes >= N_CHANGES_OF_BURST:
-        return Pause(BURST_PAUSE_MS)
-    return Pause(max(0.0, WATCH_INTERVAL_MIN_MS - elapsed_ms))
+        return Delay(BURST_PAUSE_MS)
+    return Delay(max(0.0, WATCH_INTERVAL_MIN_MS - elapsed_ms))
 
 
 @_apply.register
-def _(event: WatchTrimmed, follower: StoreFollower) -> FollowAction:
+def _(event: WatchHistoryTrimmed, follower: ObjectFollower) -> FollowerAction:
     follower.version = None
-    return follower.pause()
+    return follower.next_delay()
 
 
 @_apply.register
-def _(event: StoreFailed, follower: StoreFollower) -> FollowAction:
+def _(event: StoreCallFailed, follower: ObjectFollower) -> FollowerAction:
     # A read ends soon, whatever the store does; another watch would hang for its
     # whole time in a store that has gone silent.
     follower.version = None
-    return follower.pause()
+    return follower.next_delay()
 
 
 @_apply.register
-def _(event: PauseEnded, follower: StoreFollower) -> FollowAction:
+def _(event: DelayEnded, follower: ObjectFollower) -> FollowerAction:
     if follower.version is None:
-        return Load()
+        return ReadObject()
     if event.is_watcher:
         return follower.watch(event.now_ms)
     # A read that confirmed nothing, being stale or of no object, is not
@@ -194,7 +196,7 @@
         follower.loaded_ms + PAUSE_MAX_MS,
     )
     if event.now_ms < due_ms:
-        return Pause(max(due_ms - event.now_ms, PAUSE_MIN_MS))
+        return Delay(max(due_ms - event.now_ms, PAUSE_MIN_MS))
     # Changes that were not watched are read as the object's last state.
     follower.version = None
-    return Load()
+    return ReadObject()
--- a/chestnuthall/core/configuration/_leaders.py
+++ b/chestnuthall/core/configuration/_leaders.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True)
-class LeaderChoice:
+class LeaderSelector:
     """Orders the instances of a zone, so that each follows earlier ones only.
 
     All instances with the same view agree without a message. The first one follows
@@ -59,45 +59,47 @@
     Examples
     --------
     >>> names = ["a", "b", "c", "d", "e"]
-    >>> choices = [LeaderChoice(name) for name in names]
-    >>> sorted(choice.leader(names, 0.0) or "" for choice in choices)
+    >>> selectors = [LeaderSelector(name) for name in names]
+    >>> sorted(selector.leader(names, 0.0) or "" for selector in selectors)
     ['', 'e', 'e', 'e', 'e']
     """
 
     own_name: str
     position: int = 0
     # Whether the zone is large enough for instances to follow one another.
-    is_shared: bool = False
-    _avoided_until_ms: dict[str, float] = field(default_factory=dict)
-    _store_avoided_until_ms: float = float("-inf")
+    is_zone_large_enough: bool = False
+    _deprioritised_until_ms: dict[str, float] = field(default_factory=dict)
+    _store_deprioritised_until_ms: float = float("-inf")
 
     def leader(self, names: Collection[str], now_ms: float) -> str | None:
         """Return the instance to follow now; None is the store."""
         everyone = {*names, self.own_name}
         if len(everyone) < N_INSTANCES_MIN:
-            self.is_shared = False
+            self.is_zone_large_enough = False
             return None
         ordered = sorted(everyone, key=_rank)
         self.position = ordered.index(self.own_name)
-        self.is_shared = True
+        self.is_zone_large_enough = True
         n_asked = min(self.position, N_LEADERS_MAX)
-        if now_ms < self._store_avoided_until_ms:
+        if now_ms < self._store_deprioritised_until_ms:
             # One that the store does not serve follows a later one that it serves.
             n_asked = N_LEADERS_MAX
         for name in ordered[:n_asked]:
             is_other = name != self.own_name
-            if is_other and now_ms >= self._avoided_until_ms.get(name, 0.0):
+            if is_other and now_ms >= self._deprioritised_until_ms.get(name, 0.0):
                 return name
         return None
 
-    def avoid(self, name: str, now_ms: float, has_answered: bool = False) -> None:
+    def deprioritise(
+        self, name: str, now_ms: float, is_responsive: bool = False
+    ) -> None:
         """Pass over an instance that gave no news for a while."""
-        avoid_ms = AVOID_WITHOUT_NEWS_MS if has_answered else AVOID_MS
-        self._avoided_until_ms[name] = now_ms + avoid_ms
+        duration_ms = AVOID_WITHOUT_NEWS_MS if is_responsive else AVOID_MS
+        self._deprioritised_until_ms[name] = now_ms + duration_ms
 
-    def avoid_store(self, now_ms: float) -> None:
+    def deprioritise_store(self, now_ms: float) -> None:
         """Prefer any leader to the store for a while, which did not answer."""
-        self._store_avoided_until_ms = now_ms + AVOID_MS
+        self._store_deprioritised_until_ms = now_ms + AVOID_MS
 
     @property
     def stagger_ms(self) -> float:
--- a/chestnuthall/core/configuration/_promotion.py
+++ b/chestnuthall/core/configuration/_promotion.py
@@ -35,7 +35,7 @@
     fast_burn_classes: tuple[str, ...] = ()
 
     @property
-    def proving(self) -> tuple[InstanceEvidence, ...]:
+    def instances_in_force(self) -> tuple[InstanceEvidence, ...]:
         """The instances that have exactly this document in force."""
         return tuple(
             item for item in self.instances if item.digest == self.record.digest
@@ -44,23 +44,25 @@
     @property
     def n_requests(self) -> int:
         """Requests that were served under the document."""
-        return sum(item.n_requests for item in self.proving)
+        return sum(item.n_requests for item in self.instances_in_force)
 
     @property
     def n_refused(self) -> int:
         """Refusals under the document."""
-        return sum(n for item in self.proving for _, n in item.n_refused_by_code)
+        return sum(
+            n for item in self.instances_in_force for _, n in item.n_refused_by_code
+        )
 
     @property
     def in_force_ms(self) -> float:
         """Time for which every proving instance has had the document in force."""
-        since = [item.since_wall_ms for item in self.proving]
+        since = [item.since_wall_ms for item in self.instances_in_force]
         return max(0.0, self.gathered_wall_ms - max(since)) if since else 0.0
 
     def summary(self) -> str:
         """Return the evidence in one line, as the history records it."""
         return (
-            f"in force on {len(self.proving)} of"
+            f"in force on {len(self.instances_in_force)} of"
             f" {len(self.instances) + len(self.silent_names)} instances"
             f" for {self.in_force_ms / 1000.0:.0f} s,"
             f" {self.n_requests} requests, {self.n_refused} refused,"
@@ -135,14 +137,18 @@
 
 def _lacks(evidence: TrialEvidence, policy: PromotionPolicy) -> tuple[str, ...]:
     lacks = []
-    others = [item.name for item in evidence.instances if item not in evidence.proving]
-    if not evidence.proving:
+    others = [
+        item.name
+        for item in evidence.instances
+        if item not in evidence.instances_in_force
+    ]
+    if not evidence.instances_in_force:
         lacks.append("no instance of trial has the document in force")
     elif others:
         lacks.append(f"not in force on {', '.join(others)}")
     if evidence.silent_names:
         lacks.append(f"no status from {', '.join(evidence.silent_names)}")
-    if evidence.proving and evidence.in_force_ms < policy.in_force_min_ms:
+    if evidence.instances_in_force and evidence.in_force_ms < policy.in_force_min_ms:
         lacks.append(
             f"in force for {evidence.in_force_ms / 1000.0:.0f} s;"
             f" {policy.in_force_min_ms / 1000.0:.0f} s are needed"
--- a/chestnuthall/core/configuration/_records.py
+++ b/chestnuthall/core/configuration/_records.py
@@ -65,7 +65,7 @@
         """The highest revision recorded; 0 for an empty history."""
         return self.records[-1].revision if self.records else 0
 
-    def of_revision(self, revision: int) -> RevisionRecord | None:
+    def find(self, revision: int) -> RevisionRecord | None:
         """Return the record of a revision, or None."""
         found = (item for item in self.records if item.revision == revision)
         return next(found, None)
@@ -99,7 +99,7 @@
     A revision that is recorded already stays as it is, so a repeated write
     changes nothing. Old entries lose their text first, then go altogether.
     """
-    if history.of_revision(record.revision) is not None:
+    if history.find(record.revision) is not None:
         return history
     records = sorted((*history.records, record), key=lambda item: item.revision)
     return History(tuple(_without_old_entries(_without_old_texts(records))))
--- a/chestnuthall/core/configuration/_settlement.py
+++ b/chestnuthall/core/configuration/_write_outcome.py
@@ -6,26 +6,29 @@
 from chestnuthall.core.configuration._records import History, RevisionRecord
 
 
-class Settlement(Enum):
+class WriteOutcome(Enum):
     """What a reading of the store says about one's own write."""
 
     ACCEPTED = "accepted"
     ACCEPTED_AND_REPLACED = "accepted_and_replaced"
     LOST = "lost"
-    WRITE_AGAIN = "write_again"
+    RETRY = "write_again"
 
 
 @dataclass(frozen=True, slots=True)
-class InForce:
+class StoredRevision:
     """The record in the store, with the version of its object."""
 
     record: RevisionRecord
     version: int
 
 
-def decide_settlement(
-    write_token: str, base: InForce | None, found: InForce | None, history: History
-) -> Settlement:
+def resolve_write(
+    write_token: str,
+    base: StoredRevision | None,
+    found: StoredRevision | None,
+    history: History,
+) -> WriteOutcome:
     """Decide from a read-back after a write that was conditional on ``base``.
 
     If the object has not changed, the write may still arrive; writing again
@@ -34,11 +37,11 @@
     accepted and then replaced is found there.
     """
     if found is not None and found.record.write_token == write_token:
-        return Settlement.ACCEPTED
+        return WriteOutcome.ACCEPTED
     if history.has_token(write_token):
-        return Settlement.ACCEPTED_AND_REPLACED
+        return WriteOutcome.ACCEPTED_AND_REPLACED
     base_version = 0 if base is None else base.version
     found_version = 0 if found is None else found.version
     if found_version == base_version:
-        return Settlement.WRITE_AGAIN
-    return Settlement.LOST
+        return WriteOutcome.RETRY
+    return WriteOutcome.LOST
--- a/chestnuthall/core/configuration/tests/test_leaders.py
+++ b/chestnuthall/core/configuration/tests/test_leaders.py
@@ -2,17 +2,17 @@
 
 import pytest
 
-from chestnuthall.core.configuration import FeedTiming, LeaderChoice
+from chestnuthall.core.configuration import FeedTiming, LeaderSelector
 
 NAMES = [f"entry-{i}" for i in range(8)]
 
 
 def order():
     """Return the names in the order of their positions."""
-    choices = [LeaderChoice(name) for name in NAMES]
-    for choice in choices:
-        choice.leader(NAMES, 0.0)
-    return [item.own_name for item in sorted(choices, key=lambda item: item.position)]
+    selectors = [LeaderSelector(name) for name in NAMES]
+    for selector in selectors:
+        selector.leader(NAMES, 0.0)
+    return [item.own_name for item in sorted(selectors, key=lambda item: item.position)]
 
 
 FIRST, SECOND, THIRD, *REST = order()
@@ -38,10 +38,10 @@
 )
 def test_leader(own_name, failed, names, leader):
     """Two instances that follow each other would both miss every change."""
-    choice = LeaderChoice(own_name)
+    selector = LeaderSelector(own_name)
     for name in failed:
-        choice.avoid(name, 1_000.0)
-    assert choice.leader(names, 2_000.0) == leader
+        selector.deprioritise(name, 1_000.0)
+    assert selector.leader(names, 2_000.0) == leader
 
 
 # (case, own name, leaders that failed, leader while the store does not answer)
@@ -59,17 +59,17 @@
     ids=[case[0] for case in WITHOUT_STORE],
 )
 def test_instance_that_the_store_refuses_follows_another(own_name, failed, leader):
-    choice = LeaderChoice(own_name)
-    choice.avoid_store(1_000.0)
+    selector = LeaderSelector(own_name)
+    selector.deprioritise_store(1_000.0)
     for name in failed:
-        choice.avoid(name, 1_000.0)
-    assert choice.leader(NAMES, 2_000.0) == leader
+        selector.deprioritise(name, 1_000.0)
+    assert selector.leader(NAMES, 2_000.0) == leader
 
 
 def test_failed_leader_is_asked_again_later():
-    choice = LeaderChoice(SECOND)
-    choice.avoid(FIRST, 0.0)
-    assert choice.leader(NAMES, 10_000.0) == FIRST
+    selector = LeaderSelector(SECOND)
+    selector.deprioritise(FIRST, 0.0)
+    assert selector.leader(NAMES, 10_000.0) == FIRST
 
 
 @pytest.mark.parametrize("in_force_ms", [3_000.0, 5_000.0])
--- a/chestnuthall/core/configuration/tests/test_records.py
+++ b/chestnuthall/core/configuration/tests/test_records.py
@@ -6,12 +6,12 @@
 
 from chestnuthall.core.configuration import (
     History,
-    InForce,
     RevisionRecord,
-    Settlement,
+    StoredRevision,
+    WriteOutcome,
     add_to_history,
-    decide_settlement,
     differences,
+    resolve_write,
 )
 from chestnuthall.core.model import CallerClass, EnvironmentDocument, UpstreamGroup
 
@@ -45,34 +45,34 @@
     assert [item.revision for item in history.records] == [1, 2, 3]
 
 
-BASE = InForce(record(1), 7)
+BASE = StoredRevision(record(1), 7)
 # (case, base, found, tokens in the history, settlement)
 SETTLEMENTS = [
-    ("own token", BASE, InForce(record(2), 8), [], Settlement.ACCEPTED),
-    ("unchanged", BASE, BASE, [1], Settlement.WRITE_AGAIN),
-    ("none yet", None, None, [], Settlement.WRITE_AGAIN),
-    ("another's", BASE, InForce(record(3), 8), [1], Settlement.LOST),
-    ("created by another", None, InForce(record(3), 8), [], Settlement.LOST),
-    ("deleted", BASE, None, [1], Settlement.LOST),
+    ("own token", BASE, StoredRevision(record(2), 8), [], WriteOutcome.ACCEPTED),
+    ("unchanged", BASE, BASE, [1], WriteOutcome.RETRY),
+    ("none yet", None, None, [], WriteOutcome.RETRY),
+    ("another's", BASE, StoredRevision(record(3), 8), [1], WriteOutcome.LOST),
+    ("created by another", None, StoredRevision(record(3), 8), [], WriteOutcome.LOST),
+    ("deleted", BASE, None, [1], WriteOutcome.LOST),
     (
         "replaced",
         BASE,
-        InForce(record(3), 9),
+        StoredRevision(record(3), 9),
         [1, 2],
-        Settlement.ACCEPTED_AND_REPLACED,
+        WriteOutcome.ACCEPTED_AND_REPLACED,
     ),
 ]
 
 
 @pytest.mark.parametrize(
-    ("base", "found", "tokens", "settlement"),
+    ("base", "found", "tokens", "write_outcome"),
     [case[1:] for case in SETTLEMENTS],
     ids=[case[0] for case in SETTLEMENTS],
 )
-def test_settlement(base, found, tokens, settlement):
+def test_write_outcome(base, found, tokens, write_outcome):
     """Guards against a write reported as lost that took effect, or the reverse."""
     history = history_of(*(record(number) for number in tokens))
-    assert decide_settlement("t2", base, found, history) is settlement
+    assert resolve_write("t2", base, found, history) is write_outcome
 
 
 CLASS = CallerClass(
--- a/chestnuthall/platform/_instance.py
+++ b/chestnuthall/platform/_instance.py
@@ -21,7 +21,7 @@
 from chestnuthall.adapters.upstreams import HttpShardCaller
 from chestnuthall.core.configuration import (
     FeedTiming,
-    LeaderChoice,
+    LeaderSelector,
     safe_watch_timeout_ms,
 )
 from chestnuthall.core.model import Configuration
@@ -159,7 +159,7 @@
             self._feeds,
             (ENVIRONMENT_KIND, REGISTRATION_KIND),
             FeedTiming(min(settings.configuration_deadline_ms, settings.drain_ms)),
-            LeaderChoice(settings.name),
+            LeaderSelector(settings.name),
             lambda: self.presence.near_peers,
             [x for x in settings.seed_addresses if x != settings.peer_address],
         )
--- a/chestnuthall/services/_configuration.py
+++ b/chestnuthall/services/_configuration.py
@@ -7,18 +7,18 @@
 
 from chestnuthall.core.configuration import (
     WATCH_TIMEOUT_MS,
-    FollowAction,
-    FollowEvent,
-    Load,
-    Loaded,
-    Pause,
-    PauseEnded,
+    Delay,
+    DelayEnded,
+    FollowerAction,
+    FollowerEvent,
+    ObjectFollower,
+    ObjectRead,
+    ReadObject,
     RevisionDecision,
-    StoreFailed,
-    StoreFollower,
+    StoreCallFailed,
     Watch,
     WatchEnded,
-    WatchTrimmed,
+    WatchHistoryTrimmed,
     decide_revision,
 )
 from chestnuthall.core.model import Configuration
@@ -68,7 +68,7 @@
         self._is_watcher = is_watcher
         self._in_force: Configuration | None = None
         self._listeners: list[ConfigurationListener] = []
-        self._follower = StoreFollower(watch_timeout_ms)
+        self._follower = ObjectFollower(watch_timeout_ms)
         self._confirmed_ms = float("-inf")
         self._has_asked = False
 
@@ -145,9 +145,9 @@
         while True:
             event = await self._perform(self._follower.handle(event))
 
-    async def _ask_all(self) -> FollowEvent:
+    async def _ask_all(self) -> FollowerEvent:
         """Ask the store and peers at once and take the highest revision."""
-        event, _ = await asyncio.gather(self._perform(Load()), self._ask_peers())
+        event, _ = await asyncio.gather(self._perform(ReadObject()), self._ask_peers())
         self._has_asked = True
         return event
 
@@ -156,11 +156,11 @@
             self.offer_text(text, "peer")
 
     @singledispatchmethod
-    async def _perform(self, action: FollowAction) -> FollowEvent:
+    async def _perform(self, action: FollowerAction) -> FollowerEvent:
         raise TypeError(f"not an action: {type(action).__name__}")
 
     @_perform.register
-    async def _(self, action: Load) -> FollowEvent:
+    async def _(self, action: ReadObject) -> FollowerEvent:
         started_ms = self._clock.now_ms()
         stored = await self._store.get(
             ENVIRONMENT_KIND, self._environment, STORE_TIMEOUT_MS
@@ -168,10 +168,10 @@
         now_ms = self._clock.now_ms()
         if not isinstance(stored, Failure):
             self._take_loaded(stored.value, now_ms - started_ms)
-            return Loaded(now_ms, stored.seen_version or stored.version)
+            return ObjectRead(now_ms, stored.seen_version or stored.version)
         if stored.kind is OBJECT_NOT_FOUND:
-            return Loaded(now_ms, 0)
-        return StoreFailed(now_ms)
+            return ObjectRead(now_ms, 0)
+        return StoreCallFailed(now_ms)
 
     def _take_loaded(self, text: str, age_ms: float) -> None:
         loaded = self._read(text)
@@ -184,15 +184,15 @@
             self.confirm(loaded.revision, age_ms)
 
     @_perform.register
-    async def _(self, action: Watch) -> FollowEvent:
+    async def _(self, action: Watch) -> FollowerEvent:
         batch = await self._store.watch(
             ENVIRONMENT_KIND, action.after_version, self._follower.watch_timeout_ms
         )
         now_ms = self._clock.now_ms()
         if isinstance(batch, Failure):
             if batch.kind is HISTORY_TRIMMED:
-                return WatchTrimmed(now_ms)
-            return StoreFailed(now_ms)
+                return WatchHistoryTrimmed(now_ms)
+            return StoreCallFailed(now_ms)
         for stored in batch.changed:
             if stored.name == self._environment:
                 self.offer_text(stored.value, "store")
@@ -201,11 +201,11 @@
         return WatchEnded(now_ms, batch.version, is_empty)
 
     @_perform.register
-    async def _(self, action: Pause) -> FollowEvent:
+    async def _(self, action: Delay) -> FollowerEvent:
         await self._clock.sleep_ms(action.duration_ms)
         if self._in_force is None:
             await self._ask_peers()
-        return PauseEnded(self._clock.now_ms(), self._is_watcher(), self._confirmed_ms)
+        return DelayEnded(self._clock.now_ms(), self._is_watcher(), self._confirmed_ms)
 
     async def wait_in_force(self) -> Configuration:
         """Wait until a first configuration is in force."""
--- a/chestnuthall/services/_publication.py
+++ b/chestnuthall/services/_publication.py
@@ -5,9 +5,9 @@
 
 from chestnuthall.core.configuration import (
     Draft,
-    InForce,
     PromotionPolicy,
     PromotionVerdict,
+    StoredRevision,
     TrialEvidence,
     decide_promotion,
     promotion_draft,
@@ -30,7 +30,10 @@
         self._make_token = make_token
 
     async def publish(
-        self, draft: Draft, base: InForce | None, expected_revision: int | None = None
+        self,
+        draft: Draft,
+        base: StoredRevision | None,
+        expected_revision: int | None = None,
     ) -> Accepted | RaceLost | Failure:
         """Make a draft the next revision and announce it to the instances.
 
@@ -103,7 +106,7 @@
         return await self.publish(draft, production)
 
 
-def _is_other_revision(base: InForce | None, expected: int | None) -> bool:
+def _is_other_revision(base: StoredRevision | None, expected: int | None) -> bool:
     if expected is None:
         return False
     return (0 if base is None else base.record.revision) != expected
--- a/chestnuthall/services/_revisions.py
+++ b/chestnuthall/services/_revisions.py
@@ -7,13 +7,13 @@
     Difference,
     Draft,
     History,
-    InForce,
     RevisionRecord,
-    Settlement,
+    StoredRevision,
+    WriteOutcome,
     add_to_history,
-    decide_settlement,
     differences,
     next_record,
+    resolve_write,
 )
 from chestnuthall.core.model import EnvironmentDocument
 from chestnuthall.core.results import (
@@ -80,7 +80,7 @@
         self._codec = codec
         self._read_document = read_document
 
-    async def in_force(self, environment: str) -> InForce | Failure | None:
+    async def in_force(self, environment: str) -> StoredRevision | Failure | None:
         """Return what the store has in force; None if there is no document."""
         stored = await self._store.get(ENVIRONMENT_KIND, environment, STORE_TIMEOUT_MS)
         if isinstance(stored, Failure):
@@ -88,7 +88,7 @@
         record = self._codec.decode_record(stored.value)
         if isinstance(record, Failure):
             return record
-        return InForce(record, stored.version)
+        return StoredRevision(record, stored.version)
 
     async def history(self, environment: str) -> History | Failure:
         """Return the history, with the revision in force added to it.
@@ -137,7 +137,7 @@
         return failure
 
     async def accept(
-        self, draft: Draft, base: InForce | None
+        self, draft: Draft, base: StoredRevision | None
     ) -> Accepted | RaceLost | Failure:
         """Make a draft the next revision after ``base``, the one that was read.
 
@@ -159,7 +159,7 @@
         return await self._write_and_settle(record, base)
 
     async def _write_and_settle(
-        self, record: RevisionRecord, base: InForce | None
+        self, record: RevisionRecord, base: StoredRevision | None
     ) -> Accepted | RaceLost | Failure:
         text = self._codec.encode_record(record)
         version = 0 if base is None else base.version
@@ -184,7 +184,7 @@
         self,
         record: RevisionRecord,
         text: str,
-        base: InForce | None,
+        base: StoredRevision | None,
         ends_at_ms: float,
     ) -> Accepted | RaceLost | Failure | None:
         """Read back until the outcome is known; None means to write again."""
@@ -196,31 +196,31 @@
                 reason = f"the write may have taken effect: {reading.reason}"
                 return STORE_WRITE_UNKNOWN.with_reason(reason)
             await self._clock.sleep_ms(RETRY_DELAY_MS)
-        settlement, found = reading
-        if settlement is Settlement.ACCEPTED:
+        write_outcome, found = reading
+        if write_outcome is WriteOutcome.ACCEPTED:
             return Accepted(record, text)
-        if settlement is Settlement.ACCEPTED_AND_REPLACED:
+        if write_outcome is WriteOutcome.ACCEPTED_AND_REPLACED:
             return Accepted(record, text, None if found is None else found.record)
-        if settlement is Settlement.LOST:
+        if write_outcome is WriteOutcome.LOST:
             return self._lost(record, found)
         if self._clock.now_ms() >= ends_at_ms:
             return STORE_WRITE_UNKNOWN.with_reason("the store did not take the write")
         return None
 
     async def _read_back(
-        self, record: RevisionRecord, base: InForce | None
-    ) -> tuple[Settlement, InForce | None] | Failure:
+        self, record: RevisionRecord, base: StoredRevision | None
+    ) -> tuple[WriteOutcome, StoredRevision | None] | Failure:
         found = await self.in_force(record.environment)
         if isinstance(found, Failure):
             return found
         read = await self._read_history(record.environment)
         if isinstance(read, Failure):
             return read
-        settlement = decide_settlement(record.write_token, base, found, read[0])
-        return settlement, found
+        write_outcome = resolve_write(record.write_token, base, found, read[0])
+        return write_outcome, found
 
     def _lost(
-        self, record: RevisionRecord, found: InForce | None
+        self, record: RevisionRecord, found: StoredRevision | None
     ) -> RaceLost | Failure:
         if found is None:
             return OBJECT_CONFLICT.with_reason("the document was deleted meanwhile")
--- a/chestnuthall/services/_service_directory.py
+++ b/chestnuthall/services/_service_directory.py
@@ -9,17 +9,17 @@
 
 from chestnuthall.core.configuration import (
     WATCH_TIMEOUT_MS,
-    FollowAction,
-    FollowEvent,
-    Load,
-    Loaded,
-    Pause,
-    PauseEnded,
-    StoreFailed,
-    StoreFollower,
+    Delay,
+    DelayEnded,
+    FollowerAction,
+    FollowerEvent,
+    ObjectFollower,
+    ObjectRead,
+    ReadObject,
+    StoreCallFailed,
     Watch,
     WatchEnded,
-    WatchTrimmed,
+    WatchHistoryTrimmed,
 )
 from chestnuthall.core.model import (
     KeyRange,
@@ -91,7 +91,7 @@
         self._router = Router(router_settings, random)
         self._groups: dict[str, UpstreamGroup] = {}
         self._maps: dict[str, tuple[int, float, PartitionMap]] = {}
-        self._follower = StoreFollower(watch_timeout_ms)
+        self._follower = ObjectFollower(watch_timeout_ms)
         self._bad_entries: dict[str, str] = {}
         self._expiry: asyncio.TimerHandle | None = None
         self._is_loaded = False
@@ -157,33 +157,35 @@
 
     async def run(self) -> None:
         """Follow the registrations until cancelled."""
-        event = await self._perform(Load())
+        event = await self._perform(ReadObject())
         while True:
             event = await self._perform(self._follower.handle(event))
 
     @singledispatchmethod
-    async def _perform(self, action: FollowAction) -> FollowEvent:
+    async def _perform(self, action: FollowerAction) -> FollowerEvent:
         raise TypeError(f"not an action: {type(action).__name__}")
 
     @_perform.register
-    async def _(self, action: Load) -> FollowEvent:
+    async def _(self, action: ReadObject) -> FollowerEvent:
         listed = await self._store.list_kind(REGISTRATION_KIND, STORE_TIMEOUT_MS)
         now_ms = self._clock.now_ms()
         if isinstance(listed, Failure):
             _log.warning(
                 "cannot list registrations", extra={"result_code": listed.code}
             )
-            return StoreFailed(now_ms)
+            return StoreCallFailed(now_ms)
         found = [item for item in map(self._read_entry, listed) if item is not None]
         self._apply(self._registry.replace_all(found, now_ms))
         if not listed:
             # An empty listing names no version from which to watch.
-            return StoreFailed(now_ms)
+            return StoreCallFailed(now_ms)
         self._is_loaded = True
-        return Loaded(now_ms, max(item.seen_version or item.version for item in listed))
+        return ObjectRead(
+            now_ms, max(item.seen_version or item.version for item in listed)
+        )
 
     @_perform.register
-    async def _(self, action: Watch) -> FollowEvent:
+    async def _(self, action: Watch) -> FollowerEvent:
         batch = await self._store.watch(
             REGISTRATION_KIND, action.after_version, self._follower.watch_timeout_ms
         )
@@ -193,8 +195,8 @@
                 "watch of registrations ended", extra={"result_code": batch.code}
             )
             if batch.kind is HISTORY_TRIMMED:
-                return WatchTrimmed(now_ms)
-            return StoreFailed(now_ms)
+                return WatchHistoryTrimmed(now_ms)
+            return StoreCallFailed(now_ms)
         for stored in batch.changed:
             self._take_changed(stored, now_ms)
         for name in batch.deleted_names:
@@ -203,10 +205,10 @@
         return WatchEnded(now_ms, batch.version, n_changes == 0, n_changes)
 
     @_perform.register
-    async def _(self, action: Pause) -> FollowEvent:
+    async def _(self, action: Delay) -> FollowerEvent:
         await self._clock.sleep_ms(action.duration_ms)
         now_ms = self._clock.now_ms()
-        return PauseEnded(now_ms, is_watcher=True, confirmed_ms=now_ms)
+        return DelayEnded(now_ms, is_watcher=True, confirmed_ms=now_ms)
 
     def _take_changed(self, stored: StoredObject, now_ms: float) -> None:
         registration = self._read_entry(stored)
--- a/chestnuthall/services/_shared_store.py
+++ b/chestnuthall/services/_shared_store.py
@@ -3,7 +3,7 @@
 import logging
 from collections.abc import Callable, Collection, Sequence
 
-from chestnuthall.core.configuration import FeedTiming, LeaderChoice
+from chestnuthall.core.configuration import FeedTiming, LeaderSelector
 from chestnuthall.core.results import NOT_READY, STORE_UNAVAILABLE, Failure
 from chestnuthall.ports import (
     Clock,
@@ -45,7 +45,7 @@
         feeds: PeerFeeds,
         kinds: Collection[str],
         timing: FeedTiming,
-        choice: LeaderChoice,
+        selector: LeaderSelector,
         near_peers: Callable[[], Sequence[InstanceEntry]],
         seed_addresses: Sequence[str] = (),
     ) -> None:
@@ -53,7 +53,7 @@
         self._clock = clock
         self._peer_feeds = feeds
         self._timing = timing
-        self._choice = choice
+        self._selector = selector
         self._near_peers = near_peers
         self._seed_addresses = seed_addresses
         self._feeds = {kind: ObjectFeed(clock, timing.age_max_ms) for kind in kinds}
@@ -180,7 +180,7 @@
 
     def _leader(self) -> InstanceEntry | None:
         peers = {item.name: item for item in self._near_peers()}
-        name = self._choice.leader(peers, self._clock.now_ms())
+        name = self._selector.leader(peers, self._clock.now_ms())
         return None if name is None else peers[name]
 
     async def _watch_store(
@@ -192,7 +192,7 @@
         begin its watch in an outage of the store, of whose end it would not hear.
         """
         feed = self._feeds[kind]
-        if self._choice.is_shared:
+        if self._selector.is_zone_large_enough:
             left_ms = self._timing.watch_timeout_ms
             if kind not in self._own:
                 # Its followers need to know soon that it has news.
@@ -201,7 +201,7 @@
         batch = await self._store.watch(kind, after_version, left_ms)
         if isinstance(batch, Failure):
             self._own.discard(kind)
-            self._choice.avoid_store(self._clock.now_ms())
+            self._selector.deprioritise_store(self._clock.now_ms())
             return batch
         feed.apply(batch)
         feed.confirm()
@@ -226,11 +226,11 @@
             return answer.batch
         # A leader that has just started keeps no changes before its start; another one
         # or the store does.
-        has_answered = answer.kind is NOT_READY
-        self._choice.avoid(leader.name, self._clock.now_ms(), has_answered)
+        is_responsive = answer.kind is NOT_READY
+        self._selector.deprioritise(leader.name, self._clock.now_ms(), is_responsive)
         _log.info(
             "leader passed over",
             extra={"kind": kind, "leader": leader.name, "reason": answer.reason},
         )
-        await self._clock.sleep_ms(self._choice.stagger_ms)
+        await self._clock.sleep_ms(self._selector.stagger_ms)
         return WatchBatch(after_version, ())
--- a/chestnuthall/services/tests/test_configuration_fuzz.py
+++ b/chestnuthall/services/tests/test_configuration_fuzz.py
@@ -36,8 +36,8 @@
         self.keeper = ConfigurationKeeper("trial", None, None, None)
         self.applied = []
         self.keeper.on_change(lambda item: self.applied.append(item.revision))
-        self.follower = core.StoreFollower()
-        self.action = core.Load()
+        self.follower = core.ObjectFollower()
+        self.action = core.ReadObject()
 
 
 class ConfigurationProtocol(RuleBasedStateMachine):
@@ -90,17 +90,17 @@
         """Answer a call; reads may be stale, watches start where they asked."""
         instance = self.instances[index]
         action = instance.action
-        if isinstance(action, core.Load):
+        if isinstance(action, core.ReadObject):
             at = max(0, len(self.history) - 1 - n_behind)
             version, configuration = self.history[at]
             instance.keeper.offer(configuration, "store")
-            self.feed(instance, core.Loaded(self.now_ms, version))
+            self.feed(instance, core.ObjectRead(self.now_ms, version))
         elif isinstance(action, core.Watch):
             self.answer_watch(instance, action.after_version)
 
     def answer_watch(self, instance, after):
         if after < self.trimmed_version:
-            self.feed(instance, core.WatchTrimmed(self.now_ms))
+            self.feed(instance, core.WatchHistoryTrimmed(self.now_ms))
             return
         version, configuration = self.history[-1]
         if version > after:
@@ -111,15 +111,15 @@
     @rule(index=INSTANCES)
     def fail_call(self, index):
         instance = self.instances[index]
-        if not isinstance(instance.action, core.Pause):
-            self.feed(instance, core.StoreFailed(self.now_ms))
+        if not isinstance(instance.action, core.Delay):
+            self.feed(instance, core.StoreCallFailed(self.now_ms))
 
     @rule(index=INSTANCES, is_watcher=st.booleans())
     def end_pause(self, index, is_watcher):
         instance = self.instances[index]
-        if isinstance(instance.action, core.Pause):
+        if isinstance(instance.action, core.Delay):
             self.now_ms += instance.action.duration_ms
-            self.feed(instance, core.PauseEnded(self.now_ms, is_watcher, 0.0))
+            self.feed(instance, core.DelayEnded(self.now_ms, is_watcher, 0.0))
 
     @rule(sender=INSTANCES, receiver=INSTANCES)
     def hear_peer(self, sender, receiver):
@@ -142,7 +142,7 @@
         """While the store answers, a watcher learns the newest revision."""
         instance = self.instances[index]
         for _ in range(8):
-            if isinstance(instance.action, core.Pause):
+            if isinstance(instance.action, core.Delay):
                 self.end_pause(index, True)
             else:
                 self.answer(index, 0)
--- a/chestnuthall/services/tests/test_shared_store.py
+++ b/chestnuthall/services/tests/test_shared_store.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from chestnuthall.core.configuration import FeedTiming, LeaderChoice
+from chestnuthall.core.configuration import FeedTiming, LeaderSelector
 from chestnuthall.core.results import (
     HISTORY_TRIMMED,
     NOT_READY,
@@ -147,9 +147,9 @@
         self.entries = entries
         positions = {}
         for name in names:
-            choice = LeaderChoice(name)
-            choice.leader(names, 0.0)
-            positions[name] = choice.position
+            selector = LeaderSelector(name)
+            selector.leader(names, 0.0)
+            positions[name] = selector.position
             self.feeds.stores[name] = self.make(name)
         self.names = sorted(names, key=positions.get)
 
@@ -160,7 +160,7 @@
             self.feeds,
             (KIND,),
             FeedTiming(IN_FORCE_MS),
-            LeaderChoice(name),
+            LeaderSelector(name),
             lambda: [item for item in self.entries if item.name != name],
         )
 
--- a/chestnuthall/services/tests/test_store_follower.py
+++ b/chestnuthall/services/tests/test_store_follower.py
@@ -3,12 +3,12 @@
 import pytest
 
 from chestnuthall.core.configuration import (
-    Load,
-    Loaded,
-    Pause,
-    PauseEnded,
-    StoreFailed,
-    StoreFollower,
+    Delay,
+    DelayEnded,
+    ObjectFollower,
+    ObjectRead,
+    ReadObject,
+    StoreCallFailed,
     Watch,
     safe_watch_timeout_ms,
 )
@@ -19,35 +19,35 @@
 CALL_MS = 10.0
 
 
-def silent_store(start_ms, outage_ms, settle_ms):
+def silent_store(start_ms, outage_ms, recovery_ms):
     """Return when the object is read again after a silent outage."""
-    follower = StoreFollower(safe_watch_timeout_ms(settle_ms))
+    follower = ObjectFollower(safe_watch_timeout_ms(recovery_ms))
     now_ms = start_ms
-    action = follower.handle(Loaded(now_ms, 10))
+    action = follower.handle(ObjectRead(now_ms, 10))
     while True:
-        if isinstance(action, Pause):
+        if isinstance(action, Delay):
             now_ms += action.duration_ms
-            event = PauseEnded(now_ms, True, now_ms)
+            event = DelayEnded(now_ms, True, now_ms)
         elif isinstance(action, Watch):
             # A watch that the outage meets never hears anything.
             now_ms += follower.watch_timeout_ms + WATCH_MARGIN_MS
-            event = StoreFailed(now_ms)
+            event = StoreCallFailed(now_ms)
         elif now_ms < outage_ms:
             now_ms += STORE_TIMEOUT_MS
-            event = StoreFailed(now_ms)
+            event = StoreCallFailed(now_ms)
         else:
-            assert action == Load()
+            assert action == ReadObject()
             return now_ms + CALL_MS
         action = follower.handle(event)
 
 
-@pytest.mark.parametrize("settle_ms", [4_000.0, 5_000.0])
+@pytest.mark.parametrize("recovery_ms", [4_000.0, 5_000.0])
 @pytest.mark.parametrize("outage_ms", [2_500.0, 3_000.0, 4_500.0, 9_000.0])
 @pytest.mark.parametrize("before_ms", [0.0, 700.0, 1_900.0, 3_500.0])
 def test_object_is_read_again_before_the_store_counts_as_stable(
-    before_ms, outage_ms, settle_ms
+    before_ms, outage_ms, recovery_ms
 ):
     """Hunts broke the deadline of a change after silent outages: silent-outage with
     dps-rail seed 432750903039, and hunt-70a3-3, -27, -31 and -39 of dps-rail."""
-    read_ms = silent_store(-before_ms, outage_ms, settle_ms)
-    assert read_ms <= outage_ms + settle_ms
+    read_ms = silent_store(-before_ms, outage_ms, recovery_ms)
+    assert read_ms <= outage_ms + recovery_ms
