--- a/benchmarks/_baseline.py
+++ b/benchmarks/_baseline.py
@@ -23,7 +23,7 @@
 )
 from chestnuthall.core.results import ResultCode
 from chestnuthall.ports import ShardCaller
-from chestnuthall.services._admission import account_of_unqueued
+from chestnuthall.services._admission import unqueued_account
 
 FIXED_TIMEOUT_MS = 250.0
 N_ATTEMPTS = 2
@@ -90,7 +90,7 @@
             admitted_wall_ms=request.arrived_ms,
             finished_wall_ms=self._fleet.clock.now_ms(),
             deadline_in_ms=request.deadline_ms - request.arrived_ms,
-            admission=account_of_unqueued(),
+            admission=unqueued_account(),
             fan_out=FanOutAccount(n_calls=n_calls),
             coverage_ratio=ratio,
             snapshot_id=1,
--- a/benchmarks/_fleet.py
+++ b/benchmarks/_fleet.py
@@ -21,7 +21,7 @@
     ClaimLedger,
     ConfigurationKeeper,
     Directory,
-    FleetUse,
+    FleetUsageExchange,
     Identity,
     InstanceList,
     Membership,
@@ -66,7 +66,7 @@
             fleet.router_settings,
         )
         admissions = Admissions(clock)
-        self.fleet_use = FleetUse(
+        self.fleet_usage = FleetUsageExchange(
             self.name, clock, admissions, lambda: self.membership.members()
         )
         self.instances = InstanceList(store, clock, _read_entry)
@@ -77,7 +77,7 @@
             self.configuration,
             self.instances,
             random,
-            parts=(self.fleet_use,),
+            sections=(self.fleet_usage,),
         )
         self.query = QueryService(
             identity=identity,
@@ -88,7 +88,7 @@
             configuration=self.configuration,
             ledger=ClaimLedger(store, clock, JsonPartitionCodec(), LedgerSettings()),
             quarantine=QuarantineRegistry(QuarantineSettings()),
-            spread=lambda: self.membership.spread_now(deployment.n_instances),
+            disseminate=lambda: self.membership.disseminate_now(deployment.n_instances),
             n_instances=lambda: self.membership.n_instances,
             admissions=admissions,
         )
@@ -159,7 +159,7 @@
         for instance in self.instances:
             self._tasks.append(loop.create_task(instance.instances.run()))
             self._tasks.append(loop.create_task(instance.membership.run()))
-            self._tasks.append(loop.create_task(instance.fleet_use.run()))
+            self._tasks.append(loop.create_task(instance.fleet_usage.run()))
         await self.clock.sleep_ms(SETTLE_MS)
 
     async def stop(self) -> None:
--- a/benchmarks/_switches.py
+++ b/benchmarks/_switches.py
@@ -19,7 +19,7 @@
     Shard,
 )
 from chestnuthall.core.routing import Router
-from chestnuthall.services import FleetUse
+from chestnuthall.services import FleetUsageExchange
 
 
 class FifoQueue(AdmissionQueue):
@@ -69,14 +69,14 @@
     "baseline": (
         lambda: patch(f"{_SERVICE}.AdmissionQueue", FifoQueue),
         lambda: patch.object(AdaptiveLimit, "adapt", _fix_limit),
-        lambda: patch.object(FleetUse, "absorb", _skip),
+        lambda: patch.object(FleetUsageExchange, "receive", _skip),
         lambda: patch.object(Router, "choose", _choose_random),
     ),
     "early_refusal": (
         lambda: patch.object(AdmissionQueue, "expected_wait_ms", lambda *_: 0.0),
         lambda: patch.object(AdmissionQueue, "_is_too_late", lambda *_: False),
     ),
-    "fleet_shares": (lambda: patch.object(FleetUse, "absorb", _skip),),
+    "fleet_shares": (lambda: patch.object(FleetUsageExchange, "receive", _skip),),
     "prediction": (
         lambda: patch.object(
             ClassQueue,
--- a/benchmarks/fleet/spread.py
+++ b/benchmarks/fleet/spread.py
@@ -15,7 +15,7 @@
 from chestnuthall.core.membership import MembershipSettings
 from chestnuthall.daemon.tests import virtual_fleet
 from chestnuthall.daemon.tests.virtual_fleet import VirtualFleet, VirtualInstance
-from chestnuthall.services import Directory, DrainNews
+from chestnuthall.services import Directory, DrainExchange
 from chestnuthall.standins.virtual_time import run_virtual
 
 # 1,900 can be given on the command line; it took 101 s for one seed.
@@ -26,8 +26,10 @@
 
 def _add_drains(instance: VirtualInstance, clock, listed) -> None:  # type: ignore[no-untyped-def]
     directory = Directory(None, None, clock, None, "zone-a", Random(1))  # type: ignore[arg-type]
-    drains = DrainNews(directory, clock, listed, instance.membership.spread_now)
-    instance.membership.add_part(drains)
+    drains = DrainExchange(
+        directory, clock, listed, instance.membership.disseminate_now
+    )
+    instance.membership.add_section(drains)
     instance.parts["drains"] = drains
 
 
@@ -57,14 +59,16 @@
     await asyncio.sleep(2.0)
     origin = fleet.instances["entry-0"].parts["drains"]
     n_before = fleet.network.n_messages
-    origin.signal("replica-1", DrainSignal.ANSWER)
+    origin.on_signal("replica-1", DrainSignal.ANSWER)
     loop = asyncio.get_running_loop()
     started_s = loop.time()
     waiting = list(fleet.instances.values())
     n_after_first_s = n_instances
     while waiting:
         await asyncio.sleep(STEP_S)
-        waiting = [item for item in waiting if not item.parts["drains"].active()]
+        waiting = [
+            item for item in waiting if not item.parts["drains"].active_notices()
+        ]
         if loop.time() - started_s < 0.2:
             n_after_first_s = len(waiting)
         if loop.time() - started_s > 10.0:
--- a/chestnuthall/cli/_fleet_commands.py
+++ b/chestnuthall/cli/_fleet_commands.py
@@ -15,7 +15,7 @@
 from chestnuthall.cli._session import Common, Session, UsageError, open_session
 from chestnuthall.core.results import Failure
 from chestnuthall.ports import InstanceStatus
-from chestnuthall.services import Seen, SeenUpstream
+from chestnuthall.services import InstanceObservation, ReplicaObservation
 
 COMMON = Common()
 # A drain notice lapses after 30 s on an instance, so it is repeated before.
@@ -72,12 +72,12 @@
 
 async def _look(
     session: Session, upstreams: bool
-) -> tuple[tuple[Seen, ...], tuple[SeenUpstream, ...]] | Failure:
+) -> tuple[tuple[InstanceObservation, ...], tuple[ReplicaObservation, ...]] | Failure:
     listed = await session.fleet.listed()
     if isinstance(listed, Failure):
         return listed
     entries = tuple(item for item in listed if item.role == "entry")
-    seen = await session.fleet.see(entries)
+    seen = await session.fleet.query_status(entries)
     if not upstreams:
         return seen, ()
     replicas = await session.fleet.upstreams()
@@ -85,7 +85,7 @@
 
 
 def _status_data(
-    instances: Sequence[Seen], replicas: Sequence[SeenUpstream]
+    instances: Sequence[InstanceObservation], replicas: Sequence[ReplicaObservation]
 ) -> dict[str, object]:
     return {
         "instances": [
@@ -122,7 +122,7 @@
 
 
 def _status_tables(
-    instances: Sequence[Seen], replicas: Sequence[SeenUpstream]
+    instances: Sequence[InstanceObservation], replicas: Sequence[ReplicaObservation]
 ) -> RenderableType:
     rows = [_instance_row(item) for item in instances]
     tables: list[RenderableType] = [make_table("instances", INSTANCE_COLUMNS, rows)]
@@ -142,7 +142,7 @@
     return Group(*tables)
 
 
-def _instance_row(seen: Seen) -> tuple[object, ...]:
+def _instance_row(seen: InstanceObservation) -> tuple[object, ...]:
     found = seen.status
     if isinstance(found, Failure):
         state = f"no answer, listed as {seen.listed.state}"
--- a/chestnuthall/cli/_publishing.py
+++ b/chestnuthall/cli/_publishing.py
@@ -7,7 +7,7 @@
 from chestnuthall.cli._session import Session
 from chestnuthall.core.configuration import RevisionRecord
 from chestnuthall.core.results import Failure
-from chestnuthall.services import Accepted, RaceLost, Seen
+from chestnuthall.services import Accepted, InstanceObservation, RaceLost
 
 
 async def report_outcome(
@@ -94,7 +94,7 @@
     return ExitCode.NOT_IN_FORCE
 
 
-def _state(seen: Seen) -> str:
+def _state(seen: InstanceObservation) -> str:
     if isinstance(seen.status, Failure):
         return seen.status.reason
     return f"has revision {seen.status.revision}"
--- a/chestnuthall/core/admission/_events.py
+++ b/chestnuthall/core/admission/_events.py
@@ -73,13 +73,13 @@
 class LimitChanged(AdmissionEvent):
     """The number of shard calls that may run at once has changed.
 
-    ``part_ratio`` is this instance's part of the demand of the fleet, and
-    ``class_part_ratios`` its part of the demand of single classes.
+    ``quota_ratio`` is this instance's part of the demand of the fleet, and
+    ``class_demand_ratios`` its part of the demand of single classes.
     """
 
     limit_cost: float
-    part_ratio: float = 1.0
-    class_part_ratios: tuple[tuple[str, float], ...] = ()
+    quota_ratio: float = 1.0
+    class_demand_ratios: tuple[tuple[str, float], ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
--- a/chestnuthall/core/admission/_pace.py
+++ b/chestnuthall/core/admission/_pace.py
@@ -15,7 +15,7 @@
     --------
     >>> pace = Pace()
     >>> pace.observe_call(20.0)
-    >>> pace.wait_ms(ahead_cost=30.0, limit_cost=10.0, part_ratio=0.5)
+    >>> pace.wait_ms(ahead_cost=30.0, limit_cost=10.0, share_ratio=0.5)
     120.0
     """
 
@@ -37,7 +37,7 @@
         return RUN_FACTOR * self._query_ms.get(kind, 0.0)
 
     def wait_ms(
-        self, *, ahead_cost: float, limit_cost: float, part_ratio: float
+        self, *, ahead_cost: float, limit_cost: float, share_ratio: float
     ) -> float:
         """Return how long the calls ahead take in a part of the limit.
 
@@ -45,7 +45,7 @@
         """
         if self.call_ms is None or limit_cost <= 0.0:
             return 0.0
-        return ahead_cost * self.call_ms / (limit_cost * part_ratio)
+        return ahead_cost * self.call_ms / (limit_cost * share_ratio)
 
 
 def _average(average: float | None, value: float, weight: float) -> float:
--- a/chestnuthall/core/admission/_queue.py
+++ b/chestnuthall/core/admission/_queue.py
@@ -67,8 +67,8 @@
         reserved_ratios: tuple[tuple[str, float], ...] = (),
     ) -> None:
         self.capacity = Capacity(limit_cost, dict(reserved_ratios))
-        self.part_ratio = 1.0
-        self.class_part_ratios: dict[str, float] = {}
+        self.quota_ratio = 1.0
+        self.class_demand_ratios: dict[str, float] = {}
         self.pace = Pace()
         self.queues = {item.name: ClassQueue(item) for item in classes}
         self.waiting: dict[str, Ticket] = {}
@@ -217,8 +217,8 @@
         self.running[ticket.name] = ticket
         self.capacity.acquire(ticket.kind, ticket.cost)
         name = ticket.class_name
-        part_ratio = self.class_part_ratios.get(name, self.part_ratio)
-        queue.charge_service(ticket.cost, part_ratio)
+        quota_ratio = self.class_demand_ratios.get(name, self.quota_ratio)
+        queue.charge_service(ticket.cost, quota_ratio)
         self.served_cost[name] = self.served_cost.get(name, 0.0) + ticket.cost
         self.admitted[name, rule] = self.admitted.get((name, rule), 0) + 1
 
@@ -226,7 +226,7 @@
     def slack(self) -> float:
         """Normalised service by which a class may be ahead within its share."""
         return slack_of(
-            self.queues.values(), self.capacity.limit_cost / self.part_ratio
+            self.queues.values(), self.capacity.limit_cost / self.quota_ratio
         )
 
     def standings(self) -> tuple[ClassStanding, ...]:
@@ -260,7 +260,7 @@
         return self.pace.wait_ms(
             ahead_cost=ahead_cost,
             limit_cost=self.capacity.limit_cost,
-            part_ratio=queue.caller_class.share / sum(shares.values()),
+            share_ratio=queue.caller_class.share / sum(shares.values()),
         )
 
     def refuse(self, ticket: Ticket, failure: Failure, now_ms: float) -> Refuse:
@@ -390,7 +390,9 @@
     class_queue = queue.queues.get(event.class_name)
     if class_queue is not None and queue.pace.call_ms is not None:
         shares = sum(item.caller_class.share for item in queue.queues.values())
-        fleet_per_ms = queue.capacity.limit_cost / queue.part_ratio / queue.pace.call_ms
+        fleet_per_ms = (
+            queue.capacity.limit_cost / queue.quota_ratio / queue.pace.call_ms
+        )
         owed_per_ms = fleet_per_ms * class_queue.caller_class.share / shares
         class_queue.is_modest = event.cost_per_ms <= MODEST_RATIO * owed_per_ms
     return []
@@ -399,8 +401,8 @@
 @_apply.register
 def _(event: LimitChanged, queue: AdmissionQueue) -> list[AdmissionAction]:
     queue.capacity.limit_cost = event.limit_cost
-    queue.part_ratio = event.part_ratio
-    queue.class_part_ratios = dict(event.class_part_ratios)
+    queue.quota_ratio = event.quota_ratio
+    queue.class_demand_ratios = dict(event.class_demand_ratios)
     return queue.admit_next(event.now_ms)
 
 
--- a/chestnuthall/core/admission/_tickets.py
+++ b/chestnuthall/core/admission/_tickets.py
@@ -11,7 +11,7 @@
 GAP_WEIGHT = 0.1
 
 # Bounds the service that is predicted of others from a small part.
-PART_RATIO_MIN = 0.01
+QUOTA_RATIO_MIN = 0.01
 # Time within which news of other instances arrives. Predicted service that no
 # news has confirmed by then is taken back.
 NEWS_DELAY_MS = 2_000.0
@@ -79,14 +79,14 @@
             heapify(heap)
         self.n_waiting -= 1
 
-    def charge_service(self, cost: float, part_ratio: float) -> None:
+    def charge_service(self, cost: float, quota_ratio: float) -> None:
         """Count own service, and the like service that others give meanwhile.
 
         News of others is a second or two old. If an instance counted it only
         on arrival, all instances would serve one class until the news came
         and then all turn to another one.
         """
-        predicted_cost = cost * (1.0 / max(PART_RATIO_MIN, part_ratio) - 1.0)
+        predicted_cost = cost * (1.0 / max(QUOTA_RATIO_MIN, quota_ratio) - 1.0)
         self.predicted_cost += predicted_cost
         self._add_service(cost + predicted_cost)
 
--- a/chestnuthall/core/admission/tests/test_capacity.py
+++ b/chestnuthall/core/admission/tests/test_capacity.py
@@ -178,7 +178,7 @@
     )
     confirmed, lapsed = ClassQueue(caller_class), ClassQueue(caller_class)
     for queue in (confirmed, lapsed):
-        queue.charge_service(10.0, part_ratio=0.25)
+        queue.charge_service(10.0, quota_ratio=0.25)
         assert queue.normalised_service == pytest.approx(40.0)
     confirmed.settle(30.0)
     for queue in (confirmed, lapsed):
--- a/chestnuthall/daemon/_instance.py
+++ b/chestnuthall/daemon/_instance.py
@@ -43,10 +43,10 @@
     ConnectionBudgets,
     CountedObjectStore,
     Directory,
-    DrainNews,
-    DrainWatchingCaller,
+    DrainDetectingCaller,
+    DrainExchange,
     FleetStatus,
-    FleetUse,
+    FleetUsageExchange,
     HealthChecks,
     Identity,
     InstanceList,
@@ -55,7 +55,7 @@
     NewsStatus,
     OutcomeRecorder,
     PeerConfigurations,
-    QuarantineNews,
+    QuarantineExchange,
     QueryService,
     StatusReporter,
     TwoLevelFanOut,
@@ -123,7 +123,7 @@
         )
         self.instances = InstanceList(store, clock, _read_list_entry)
         admissions = Admissions(clock)
-        self.fleet_use = FleetUse(
+        self.fleet_usage = FleetUsageExchange(
             self.settings.name, clock, admissions, lambda: self.membership.members()
         )
         self.membership = Membership(
@@ -133,24 +133,24 @@
             self.configuration,
             self.instances,
             random,
-            parts=(self.fleet_use,),
+            sections=(self.fleet_usage,),
         )
-        self.drains = DrainNews(
+        self.drains = DrainExchange(
             self.directory,
             clock,
             self.instances,
-            self.membership.spread_now,
+            self.membership.disseminate_now,
             settings.name,
         )
         quarantine = QuarantineRegistry(QuarantineSettings())
-        self.quarantines = QuarantineNews(
+        self.quarantines = QuarantineExchange(
             quarantine,
             clock,
-            self.membership.spread_now,
+            self.membership.disseminate_now,
             self.directory.zone_of,
         )
-        self.membership.add_part(self.drains)
-        self.membership.add_part(self.quarantines)
+        self.membership.add_section(self.drains)
+        self.membership.add_section(self.quarantines)
         self.health_checks = HealthChecks(
             self.caller, self.directory, self.drains, self.membership, clock, random
         )
@@ -177,7 +177,7 @@
             identity=identity,
             clock=clock,
             metrics=metrics,
-            caller=DrainWatchingCaller(self.caller, self.drains.signal),
+            caller=DrainDetectingCaller(self.caller, self.drains.on_signal),
             directory=self.directory,
             configuration=self.configuration,
             ledger=self.ledger,
@@ -186,7 +186,7 @@
             record_outcome=OutcomeRecorder(
                 self.burn, metrics, self.configuration
             ).record,
-            spread=lambda: self.membership.spread_now(N_WARNED_PEERS),
+            disseminate=lambda: self.membership.disseminate_now(N_WARNED_PEERS),
             n_instances=lambda: self.membership.n_instances,
         )
         self.connections = ConnectionBudgets(
@@ -268,7 +268,7 @@
     def _spread(self, configuration: Configuration) -> None:
         """Tell some peers of a new revision before the next probe would."""
         task = asyncio.get_running_loop().create_task(
-            self.membership.spread_now(N_PEERS_TOLD)
+            self.membership.disseminate_now(N_PEERS_TOLD)
         )
         self._spreading.add(task)
         task.add_done_callback(self._spreading.discard)
@@ -280,9 +280,9 @@
             clock,
             self.directory,
             self.query.run_shards,
-            self.query.read_context,
+            self.query.fan_out_context,
         )
-        self.query.divide_searches(two_level.complete)
+        self.query.set_divided_search(two_level.complete)
         self.membership.set_shard_set_handler(two_level.answer)
 
     async def start(self) -> None:
@@ -297,7 +297,7 @@
             loop.create_task(self.connections.run()),
             loop.create_task(self.instances.run()),
             loop.create_task(self.membership.run()),
-            loop.create_task(self.fleet_use.run()),
+            loop.create_task(self.fleet_usage.run()),
             loop.create_task(self.health_checks.run()),
             loop.create_task(self.quarantines.run()),
             loop.create_task(self.status.run()),
--- a/chestnuthall/daemon/tests/test_urgent_news.py
+++ b/chestnuthall/daemon/tests/test_urgent_news.py
@@ -22,9 +22,9 @@
 from chestnuthall.ports import PeerDigest, QuarantineNotice
 from chestnuthall.services import (
     Directory,
-    DrainNews,
+    DrainExchange,
     HealthChecks,
-    QuarantineNews,
+    QuarantineExchange,
 )
 from chestnuthall.standins.virtual_time import run_virtual
 
@@ -55,12 +55,12 @@
         directory.add_group(GROUP)
         directory.add_map(PartitionMap("g", 1, (SHARD,)))
         membership = instance.membership
-        drains = DrainNews(directory, clock, listed, membership.spread_now)
+        drains = DrainExchange(directory, clock, listed, membership.disseminate_now)
         registry = QuarantineRegistry(QuarantineSettings())
-        quarantines = QuarantineNews(registry, clock, membership.spread_now)
+        quarantines = QuarantineExchange(registry, clock, membership.disseminate_now)
         health = HealthChecks(upstream, directory, drains, membership, clock, random)
-        membership.add_part(drains)
-        membership.add_part(quarantines)
+        membership.add_section(drains)
+        membership.add_section(quarantines)
         instance.parts.update(
             clock=clock,
             drains=drains,
@@ -103,16 +103,16 @@
 
 def _by_refusal(fleet, upstream):
     upstream.is_listening = False
-    fleet.instances["entry-3"].parts["drains"].signal("r0", DrainSignal.REFUSED)
+    fleet.instances["entry-3"].parts["drains"].on_signal("r0", DrainSignal.REFUSED)
 
 
 def _by_answer(fleet, upstream):
     upstream.is_draining = True
-    fleet.instances["entry-3"].parts["drains"].signal("r0", DrainSignal.ANSWER)
+    fleet.instances["entry-3"].parts["drains"].on_signal("r0", DrainSignal.ANSWER)
 
 
 def _by_operator(fleet, upstream):
-    fleet.instances["entry-3"].parts["drains"].signal("r0", DrainSignal.OPERATOR)
+    fleet.instances["entry-3"].parts["drains"].on_signal("r0", DrainSignal.OPERATOR)
 
 
 SIGNALS = {
@@ -273,7 +273,7 @@
     async def scenario():
         fleet = make_fleet(Upstream())
         await fleet.settle()
-        fleet.instances["entry-1"].parts["drains"].signal("r0", DrainSignal.OPERATOR)
+        fleet.instances["entry-1"].parts["drains"].on_signal("r0", DrainSignal.OPERATOR)
         await asyncio.sleep(BOUND_S)
         parts = fleet.instances["entry-2"].parts
         parts["directory"].add_group(replace(GROUP, name="late"))
@@ -288,7 +288,7 @@
 def test_only_a_later_loss_follows_a_lift(sequence, is_refused):
     """An old notice that arrives after the lift must change nothing."""
     clock = SimpleNamespace(now_ms=lambda: 0.0, wall_ms=lambda: 0.0)
-    news = QuarantineNews(QuarantineRegistry(QuarantineSettings()), clock, None)
+    exchange = QuarantineExchange(QuarantineRegistry(QuarantineSettings()), clock, None)
     digest = PeerDigest(
         sender="entry-1",
         sender_address="a:1",
@@ -300,5 +300,5 @@
             QuarantineNotice("f", ("r1", "r2"), 60_000.0, sequence),
         ),
     )
-    news.absorb(digest)
-    assert news.is_quarantined("f") is is_refused
+    exchange.receive(digest)
+    assert exchange.is_quarantined("f") is is_refused
--- a/chestnuthall/platform/_instance.py
+++ b/chestnuthall/platform/_instance.py
@@ -51,7 +51,7 @@
     ConnectionBudgets,
     CountedObjectStore,
     DecisionLog,
-    EqualParts,
+    EqualQuotas,
     Identity,
     InstanceEntry,
     Lifecycle,
@@ -223,7 +223,7 @@
             n_instances_in_zone=self.presence.n_instances_in_zone,
         )
         admissions = Admissions(clock)
-        self._parts = EqualParts(
+        self._quotas = EqualQuotas(
             clock, admissions, lambda: self.presence.n_instances or 1
         )
         self._peer_caller = self._make_peer_caller()
@@ -290,7 +290,11 @@
     def _is_able(self) -> bool:
         """Whether this instance can serve what its configuration names."""
         has_time = not self._overload.is_overloaded
-        return has_time and self._knows_enough() and self._relay.reaches_floors()
+        return (
+            has_time
+            and self._knows_enough()
+            and self._relay.can_reach_coverage_floors()
+        )
 
     def _knows_enough(self) -> bool:
         return self.configuration.is_ready and self.directory.is_ready
@@ -340,7 +344,7 @@
             loop.create_task(self.presence.run()),
             loop.create_task(self._connections.run()),
             loop.create_task(self._caller.run()),
-            loop.create_task(self._parts.run()),
+            loop.create_task(self._quotas.run()),
             loop.create_task(self._report_dropped_lines()),
             loop.create_task(self._measure_loop_lag()),
         ]
--- a/chestnuthall/platform/_main.py
+++ b/chestnuthall/platform/_main.py
@@ -11,7 +11,7 @@
 from chestnuthall.core.results import Failure
 from chestnuthall.platform._instance import PlatformInstance
 from chestnuthall.platform._settings import PlatformSettings, read_settings
-from chestnuthall.services import DECISIONS
+from chestnuthall.services import DECISION_LOGGER_NAME
 
 EXIT_BAD_SETTINGS = 2
 
@@ -28,7 +28,7 @@
     settings = read_settings(text, str(settings_file))
     if isinstance(settings, Failure):
         _fail(settings.reason)
-    log_limit = set_up_logs(settings.log_level, settings.name, (DECISIONS,))
+    log_limit = set_up_logs(settings.log_level, settings.name, (DECISION_LOGGER_NAME,))
     # A full collection would stop the loop for tens of milliseconds to find the
     # modules alive again.
     gc.collect()
--- a/chestnuthall/services/__init__.py
+++ b/chestnuthall/services/__init__.py
@@ -29,7 +29,7 @@
     ConnectionBudgets,
 )
 from chestnuthall.services._decision_log import (
-    DECISIONS,
+    DECISION_LOGGER_NAME,
     DecisionLog,
 )
 from chestnuthall.services._directory import (
@@ -37,19 +37,19 @@
     PartitionMapReader,
 )
 from chestnuthall.services._drain_news import (
-    DrainNews,
-    DrainWatchingCaller,
+    DrainDetectingCaller,
+    DrainExchange,
 )
-from chestnuthall.services._equal_parts import (
-    EqualParts,
+from chestnuthall.services._equal_quotas import (
+    EqualQuotas,
 )
-from chestnuthall.services._fleet_use import (
-    FleetUse,
+from chestnuthall.services._fleet_usage import (
+    FleetUsageExchange,
 )
 from chestnuthall.services._fleet_view import (
     FleetView,
-    Seen,
-    SeenUpstream,
+    InstanceObservation,
+    ReplicaObservation,
 )
 from chestnuthall.services._group_directory import (
     GroupDirectory,
@@ -65,7 +65,7 @@
     Lifecycle,
 )
 from chestnuthall.services._membership import (
-    DigestPart,
+    DigestSection,
     Identity,
     Membership,
 )
@@ -86,8 +86,8 @@
 from chestnuthall.services._publication import (
     Publication,
 )
-from chestnuthall.services._quarantine_news import (
-    QuarantineNews,
+from chestnuthall.services._quarantine_exchange import (
+    QuarantineExchange,
 )
 from chestnuthall.services._query import (
     Outcome,
@@ -112,8 +112,8 @@
     ConfigurationStatus,
     FleetStatus,
     NewsStatus,
-    StatusPart,
     StatusReporter,
+    StatusSection,
 )
 from chestnuthall.services._store_calls import (
     CountedObjectStore,
@@ -123,7 +123,7 @@
 )
 
 __all__ = [
-    "DECISIONS",
+    "DECISION_LOGGER_NAME",
     "Accepted",
     "Administration",
     "Admission",
@@ -138,13 +138,13 @@
     "ConnectionBudgets",
     "CountedObjectStore",
     "DecisionLog",
-    "DigestPart",
+    "DigestSection",
     "Directory",
-    "DrainNews",
-    "DrainWatchingCaller",
-    "EqualParts",
+    "DrainExchange",
+    "DrainDetectingCaller",
+    "EqualQuotas",
     "FleetStatus",
-    "FleetUse",
+    "FleetUsageExchange",
     "FleetView",
     "GroupDirectory",
     "HealthChecks",
@@ -167,16 +167,16 @@
     "PeerShardSets",
     "Presence",
     "Publication",
-    "QuarantineNews",
+    "QuarantineExchange",
     "QueryService",
     "RaceLost",
     "RelayCall",
     "RelayService",
     "RevisionBook",
-    "Seen",
-    "SeenUpstream",
+    "InstanceObservation",
+    "ReplicaObservation",
     "ServiceDirectory",
-    "StatusPart",
+    "StatusSection",
     "StatusReporter",
     "TwoLevelFanOut",
     "read_burn",
--- a/chestnuthall/services/_administration.py
+++ b/chestnuthall/services/_administration.py
@@ -4,10 +4,10 @@
 from chestnuthall.core.results import NOT_FOUND, Failure
 from chestnuthall.ports import Clock, QuarantineView
 from chestnuthall.services._directory import Directory
-from chestnuthall.services._drain_news import DrainNews
+from chestnuthall.services._drain_news import DrainExchange
 from chestnuthall.services._lifecycle import Lifecycle
 from chestnuthall.services._membership import Identity
-from chestnuthall.services._quarantine_news import QuarantineNews
+from chestnuthall.services._quarantine_exchange import QuarantineExchange
 
 
 class Administration:
@@ -18,8 +18,8 @@
         identity: Identity,
         lifecycle: Lifecycle,
         directory: Directory,
-        drains: DrainNews,
-        quarantines: QuarantineNews,
+        drains: DrainExchange,
+        quarantines: QuarantineExchange,
         clock: Clock,
     ) -> None:
         self._identity = identity
@@ -40,13 +40,13 @@
         """Stop new calls to a replica over the whole fleet, if it is known."""
         if not self._directory.knows_replica(name):
             return NOT_FOUND.with_reason(f"no upstream named {name!r}")
-        self._drains.signal(name, DrainSignal.OPERATOR)
+        self._drains.on_signal(name, DrainSignal.OPERATOR)
         return None
 
     def resume_replica(self, name: str) -> None:
         """End the drain of a replica, whatever began it."""
         now_ms = self._clock.now_ms()
-        self._drains.note_back(name, DrainSignal.OPERATOR, now_ms)
+        self._drains.on_recovered(name, DrainSignal.OPERATOR, now_ms)
 
     def quarantines(self) -> tuple[QuarantineView, ...]:
         """Return the requests that have cost replicas."""
--- a/chestnuthall/services/_admission.py
+++ b/chestnuthall/services/_admission.py
@@ -101,8 +101,8 @@
     ) -> None:
         self._clock = clock
         self._slots_cost = slots_cost
-        self._part_ratio = 1.0
-        self._class_part_ratios: tuple[tuple[str, float], ...] = ()
+        self._quota_ratio = 1.0
+        self._class_demand_ratios: tuple[tuple[str, float], ...] = ()
         self._limit = AdaptiveLimit()
         self._queue = AdmissionQueue(
             document.classes, slots_cost, group.reserved_ratios
@@ -149,15 +149,15 @@
             self._slots_cost = slots_cost
             self._apply_limit()
 
-    def set_part(
-        self, part_ratio: float, class_part_ratios: tuple[tuple[str, float], ...]
+    def set_quota(
+        self, quota_ratio: float, class_demand_ratios: tuple[tuple[str, float], ...]
     ) -> None:
         """Set this instance's part of the demand, in all and by class.
 
         It is also the part of the group's slots that this instance may use.
         """
-        self._part_ratio = part_ratio
-        self._class_part_ratios = class_part_ratios
+        self._quota_ratio = quota_ratio
+        self._class_demand_ratios = class_demand_ratios
         self._apply_limit()
 
     def adapt(self) -> None:
@@ -167,13 +167,13 @@
         self._apply_limit()
 
     def _apply_limit(self) -> None:
-        limit_cost = self._slots_cost * self._part_ratio * self._limit.ratio
+        limit_cost = self._slots_cost * self._quota_ratio * self._limit.ratio
         self._handle(
             LimitChanged(
                 self._clock.now_ms(),
                 limit_cost,
-                self._part_ratio,
-                self._class_part_ratios,
+                self._quota_ratio,
+                self._class_demand_ratios,
             )
         )
 
@@ -340,6 +340,6 @@
             admission.adapt()
 
 
-def account_of_unqueued() -> AdmissionAccount:
+def unqueued_account() -> AdmissionAccount:
     """Return the account of a request that was refused before any queue."""
     return AdmissionAccount(AdmissionRule.NOT_ADMITTED, 0.0, 0)
--- a/chestnuthall/services/_decision_log.py
+++ b/chestnuthall/services/_decision_log.py
@@ -16,8 +16,8 @@
 from chestnuthall.ports import Clock, Metrics
 
 # Logger whose volume is bounded here.
-DECISIONS = "chestnuthall.decisions"
-_log = logging.getLogger(DECISIONS)
+DECISION_LOGGER_NAME = "chestnuthall.decisions"
+_log = logging.getLogger(DECISION_LOGGER_NAME)
 
 # Lines that may be written at once, and per second after that. A line costs about
 # 35 us, so that the log stays below a twentieth of what the requests cost.
--- a/chestnuthall/services/_directory.py
+++ b/chestnuthall/services/_directory.py
@@ -109,7 +109,7 @@
                 },
             )
 
-    def map_of(self, group_name: str, snapshot_id: int) -> PartitionMap | None:
+    def find_map(self, group_name: str, snapshot_id: int) -> PartitionMap | None:
         """Return the known map of a snapshot, or None."""
         catalog = self._catalogs.get(group_name)
         maps = () if catalog is None else catalog.maps()
@@ -131,7 +131,7 @@
             excluded,
         )
 
-    async def pin_another(
+    async def pin_replacement(
         self, group_name: str, unavailable_snapshot_ids: tuple[int, ...]
     ) -> PartitionMap | None:
         """Return a map of a snapshot that is not gone, asking upstreams if needed."""
--- a/chestnuthall/services/_drain_news.py
+++ b/chestnuthall/services/_drain_news.py
@@ -37,10 +37,10 @@
 
 _SIGNALS = {signal.value: signal for signal in DrainSignal}
 
-Spreader = Callable[[int], Awaitable[None]]
+Disseminator = Callable[[int], Awaitable[None]]
 
 
-class DrainNews:
+class DrainExchange:
     """Takes every signal of a drain to the routers and to the peers."""
 
     def __init__(
@@ -48,24 +48,24 @@
         directory: Directory,
         clock: Clock,
         instances: InstanceList,
-        spread: Spreader,
+        disseminate: Disseminator,
         origin_name: str = "",
     ) -> None:
         self._directory = directory
         self._clock = clock
-        self._spread = spread
+        self._disseminate = disseminate
         self._registry = DrainRegistry(origin_name=origin_name)
         self._listed_leaving: set[str] = set()
         self._spreading: asyncio.Task[None] | None = None
         self._must_spread = False
         instances.on_change(self._read_list)
 
-    def signal(self, replica_name: str, signal: DrainSignal) -> None:
+    def on_signal(self, replica_name: str, signal: DrainSignal) -> None:
         """Note that this instance saw that a replica leaves."""
         now_ms, wall_ms = self._clock.now_ms(), self._clock.wall_ms()
         self._handle(DrainDetected(now_ms, wall_ms, replica_name, signal))
 
-    def note_back(
+    def on_recovered(
         self, replica_name: str, signal: DrainSignal, observed_ms: float
     ) -> None:
         """Note that this instance saw that a replica takes calls again.
@@ -81,7 +81,7 @@
         """Return whether the platform's list says that a replica leaves."""
         return replica_name in self._listed_leaving
 
-    def active(self) -> tuple[Notice, ...]:
+    def active_notices(self) -> tuple[Notice, ...]:
         """Return the drains that hold now."""
         return self._registry.active_drains(self._clock.now_ms())
 
@@ -92,12 +92,12 @@
             until_ms = now_ms + notice.remaining_ms
             self._perform(StopCalls(notice.replica_name, until_ms))
 
-    def fill(self, digest: PeerDigest) -> PeerDigest:
+    def add_to(self, digest: PeerDigest) -> PeerDigest:
         """Return the digest with the drain notices added."""
         notices = self._registry.select_notices(self._clock.now_ms())
         return replace(digest, drains=tuple(map(_to_port, notices)))
 
-    def absorb(self, digest: PeerDigest) -> None:
+    def receive(self, digest: PeerDigest) -> None:
         """Take in the drain notices of a peer."""
         notices = tuple(
             Notice(
@@ -118,9 +118,9 @@
         leaving = {item.name for item in upstreams if item.is_leaving}
         live = {item.name for item in upstreams} - leaving
         for name in leaving - self._listed_leaving:
-            self.signal(name, DrainSignal.LIST)
+            self.on_signal(name, DrainSignal.LIST)
         for name in live & self._listed_leaving:
-            self.note_back(name, DrainSignal.LIST, self._clock.now_ms())
+            self.on_recovered(name, DrainSignal.LIST, self._clock.now_ms())
         self._listed_leaving = leaving
 
     def _handle(self, event: DrainEvent) -> None:
@@ -154,7 +154,7 @@
         try:
             while self._must_spread:
                 self._must_spread = False
-                await self._spread(N_URGENT_PEERS)
+                await self._disseminate(N_URGENT_PEERS)
         finally:
             self._spreading = None
 
@@ -169,7 +169,7 @@
     )
 
 
-class DrainWatchingCaller:
+class DrainDetectingCaller:
     """A shard caller that notes the drains that its calls show."""
 
     def __init__(
--- a/chestnuthall/services/_equal_parts.py
+++ b/chestnuthall/services/_equal_quotas.py
@@ -11,7 +11,7 @@
 EXCESS_FACTOR = 3.0
 
 
-class EqualParts:
+class EqualQuotas:
     """Gives this instance a bounded part of each group's slots.
 
     Without an exchange of demand the true part is unknown. The bound keeps one
@@ -28,7 +28,7 @@
     async def run(self) -> None:
         """Set the parts until cancelled."""
         while True:
-            part_ratio = min(1.0, EXCESS_FACTOR / self._n_instances())
+            quota_ratio = min(1.0, EXCESS_FACTOR / self._n_instances())
             for _, admission in self._admissions.items():
-                admission.set_part(part_ratio, ())
+                admission.set_quota(quota_ratio, ())
             await self._clock.sleep_ms(INTERVAL_MS)
--- a/chestnuthall/services/_fan_out_run.py
+++ b/chestnuthall/services/_fan_out_run.py
@@ -35,7 +35,7 @@
 class MapSource(Protocol):
     """Where another map comes from when the pinned snapshot goes away."""
 
-    async def pin_another(
+    async def pin_replacement(
         self, group_name: str, unavailable_snapshot_ids: tuple[int, ...]
     ) -> PartitionMap | None:
         """Return a map of a snapshot that is not gone, or None."""
@@ -45,7 +45,7 @@
 class NoOtherMap:
     """Keeps a part of a divided search on the snapshot of the whole."""
 
-    async def pin_another(
+    async def pin_replacement(
         self, group_name: str, unavailable_snapshot_ids: tuple[int, ...]
     ) -> PartitionMap | None:
         """Return None."""
@@ -183,7 +183,7 @@
 
     async def _pin_another(self, action: Replan) -> None:
         group = self._fan_out.request.group
-        another = await self._directory.pin_another(
+        another = await self._directory.pin_replacement(
             group, action.unavailable_snapshot_ids
         )
         self._handle(MapReplaced(self._clock.now_ms(), another))
--- a/chestnuthall/services/_fleet_use.py
+++ b/chestnuthall/services/_fleet_usage.py
@@ -23,7 +23,7 @@
 N_USES_MAX = 28
 
 
-class FleetUse:
+class FleetUsageExchange:
     """News about the service that each class received on each instance.
 
     Own use goes first into a digest, then the latest news of others, which is
@@ -53,7 +53,7 @@
         self._started_ms = clock.now_ms()
         self._histories: dict[tuple[str, str | None], DemandHistory] = {}
 
-    def fill(self, digest: PeerDigest) -> PeerDigest:
+    def add_to(self, digest: PeerDigest) -> PeerDigest:
         """Return the digest with the own use and the latest news of others."""
         own = self._own_uses()
         room = max(0, N_USES_MAX - len(own))
@@ -81,7 +81,7 @@
     def _relayed(self) -> list[ClassUse]:
         return [ClassUse(**asdict(report)) for report in self._ledger.newest_reports()]
 
-    def absorb(self, digest: PeerDigest) -> None:
+    def receive(self, digest: PeerDigest) -> None:
         """Count the service that a peer reports and was not counted before."""
         now_ms = self._clock.now_ms()
         admissions = dict(self._admissions.items())
@@ -93,7 +93,7 @@
             if admission is not None and added_cost > 0.0:
                 admission.on_fleet_use(use.class_name, added_cost)
 
-    def update_parts(self) -> None:
+    def update_quotas(self) -> None:
         """Set this instance's part of each group from the demand known."""
         now_ms = self._clock.now_ms()
         members = frozenset(member.name for member in self._read_members())
@@ -101,12 +101,14 @@
         for group, admission in self._admissions.items():
             costs = admission.offered.by_class(now_ms)
             n_instances = 1 + len(members)
-            part = self._part(group, None, sum(costs.values()), n_instances)
-            class_parts = tuple(
-                (name, self._part(group, name, cost, n_instances))
+            quota_ratio = self._demand_fraction(
+                group, None, sum(costs.values()), n_instances
+            )
+            class_demand_ratios = tuple(
+                (name, self._demand_fraction(group, name, cost, n_instances))
                 for name, cost in costs.items()
             )
-            admission.set_part(part, class_parts)
+            admission.set_quota(quota_ratio, class_demand_ratios)
             for name, cost in costs.items():
                 others_cost = self._others_cost(group, name, n_instances)
                 admission.on_fleet_demand(name, cost + others_cost)
@@ -118,7 +120,7 @@
         known_cost = sum(item.cost for item in demand.values())
         return known_cost * (n_instances - 1) / len(demand) if demand else 0.0
 
-    def _part(
+    def _demand_fraction(
         self, group: str, class_name: str | None, own_cost: float, n_instances: int
     ) -> float:
         now_ms = self._clock.now_ms()
@@ -131,6 +133,6 @@
     async def run(self) -> None:
         """Keep parts and limits up to date until cancelled."""
         while True:
-            self.update_parts()
+            self.update_quotas()
             self._admissions.adapt()
             await self._clock.sleep_ms(UPDATE_INTERVAL_MS)
--- a/chestnuthall/services/_fleet_view.py
+++ b/chestnuthall/services/_fleet_view.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class InstanceObservation:
     """A listed instance with its status, or why there is none."""
 
     listed: ListedInstance
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SeenUpstream:
+class ReplicaObservation:
     """A replica of a group's newest map with what it says about itself."""
 
     group: str
@@ -85,16 +85,20 @@
             return listed
         return tuple(x for x in listed if x.role == "entry" and x.state == "live")
 
-    async def see(self, instances: tuple[ListedInstance, ...]) -> tuple[Seen, ...]:
+    async def query_status(
+        self, instances: tuple[ListedInstance, ...]
+    ) -> tuple[InstanceObservation, ...]:
         """Ask instances for their status."""
-        return tuple(await asyncio.gather(*(self._see(item) for item in instances)))
+        return tuple(
+            await asyncio.gather(*(self._query_instance(item) for item in instances))
+        )
 
-    async def _see(self, listed: ListedInstance) -> Seen:
+    async def _query_instance(self, listed: ListedInstance) -> InstanceObservation:
         async with self._slots:
             status = await self._admin.status(listed.address, ADMIN_TIMEOUT_MS)
-        return Seen(listed, status)
+        return InstanceObservation(listed, status)
 
-    async def upstreams(self) -> tuple[SeenUpstream, ...] | Failure:
+    async def upstreams(self) -> tuple[ReplicaObservation, ...] | Failure:
         """Ask every replica of the published partition maps for its health."""
         objects = await self._store.list_kind(PARTITION_MAP_KIND, STORE_TIMEOUT_MS)
         if isinstance(objects, Failure):
@@ -114,10 +118,10 @@
 
     async def _see_upstream(
         self, group: str, shard_id: str, replica: Replica
-    ) -> SeenUpstream:
+    ) -> ReplicaObservation:
         async with self._slots:
             state = await self._admin.upstream_state(replica.address, ADMIN_TIMEOUT_MS)
-        return SeenUpstream(group, shard_id, replica, state)
+        return ReplicaObservation(group, shard_id, replica, state)
 
     async def announce(
         self, instances: tuple[ListedInstance, ...], stored_text: str
@@ -143,7 +147,7 @@
         timeout_ms: float,
         on_progress: ProgressListener,
         interval_ms: float = 200.0,
-    ) -> tuple[Seen, ...]:
+    ) -> tuple[InstanceObservation, ...]:
         """Wait until every instance has a revision, or a later one, in force.
 
         Returns the instances that do not have it when the time is up. An
@@ -151,7 +155,7 @@
         """
         ends_at_ms = self._clock.now_ms() + timeout_ms
         while True:
-            seen = await self.see(instances)
+            seen = await self.query_status(instances)
             seen = tuple(x for x in seen if _may_follow(x, record.environment))
             behind = tuple(item for item in seen if not _has(item, record))
             on_progress(len(seen) - len(behind), len(seen))
@@ -166,7 +170,7 @@
         fast_burn_classes: tuple[str, ...],
     ) -> TrialEvidence:
         """Gather what the instances of an environment show about a revision."""
-        seen = await self.see(instances)
+        seen = await self.query_status(instances)
         statuses = [item.status for item in seen]
         return TrialEvidence(
             record=record,
@@ -242,12 +246,12 @@
         return {x.name: result for x, result in zip(instances, results, strict=True)}
 
 
-def _may_follow(seen: Seen, environment: str) -> bool:
+def _may_follow(seen: InstanceObservation, environment: str) -> bool:
     status = seen.status
     return isinstance(status, Failure) or status.environment == environment
 
 
-def _has(seen: Seen, record: RevisionRecord) -> bool:
+def _has(seen: InstanceObservation, record: RevisionRecord) -> bool:
     status = seen.status
     return not isinstance(status, Failure) and status.revision >= record.revision
 
--- a/chestnuthall/services/_group_directory.py
+++ b/chestnuthall/services/_group_directory.py
@@ -23,7 +23,7 @@
         """Return the map that a query pins, without the excluded snapshots."""
         ...
 
-    async def pin_another(
+    async def pin_replacement(
         self, group_name: str, unavailable_snapshot_ids: tuple[int, ...]
     ) -> PartitionMap | None:
         """Return a map of a snapshot that is not gone, or None."""
--- a/chestnuthall/services/_health_checks.py
+++ b/chestnuthall/services/_health_checks.py
@@ -9,7 +9,7 @@
 from chestnuthall.core.routing import HashRing
 from chestnuthall.ports import Clock, ReplicaHealth
 from chestnuthall.services._directory import Directory
-from chestnuthall.services._drain_news import DrainNews
+from chestnuthall.services._drain_news import DrainExchange
 from chestnuthall.services._membership import Membership
 
 # 13,000 replicas over 1,900 instances are 7 for each, which makes 1.4 checks
@@ -31,7 +31,7 @@
         self,
         health: ReplicaHealth,
         directory: Directory,
-        drains: DrainNews,
+        drains: DrainExchange,
         membership: Membership,
         clock: Clock,
         random: Random,
@@ -62,7 +62,7 @@
             jitter = self._random.uniform(0.9, 1.1)
             await self._clock.sleep_ms(DRAINED_CHECK_INTERVAL_MS * jitter)
             self._drains.apply_again()
-            names = {notice.replica_name for notice in self._drains.active()}
+            names = {notice.replica_name for notice in self._drains.active_notices()}
             if names:
                 await self._check_drained(names)
 
@@ -92,11 +92,11 @@
         began_ms = self._clock.now_ms()
         result = await self._health.check_health(group, replica, HEALTH_TIMEOUT_MS)
         if self._drains.is_listed_leaving(replica.name):
-            self._drains.signal(replica.name, DrainSignal.LIST)
+            self._drains.on_signal(replica.name, DrainSignal.LIST)
         elif isinstance(result, Failure):
             if result.kind is CONNECTION_REFUSED:
-                self._drains.signal(replica.name, DrainSignal.REFUSED)
+                self._drains.on_signal(replica.name, DrainSignal.REFUSED)
         elif result:
-            self._drains.signal(replica.name, DrainSignal.HEALTH)
+            self._drains.on_signal(replica.name, DrainSignal.HEALTH)
         else:
-            self._drains.note_back(replica.name, DrainSignal.HEALTH, began_ms)
+            self._drains.on_recovered(replica.name, DrainSignal.HEALTH, began_ms)
--- a/chestnuthall/services/_membership.py
+++ b/chestnuthall/services/_membership.py
@@ -58,14 +58,14 @@
 _STATES = {state.value: state for state in MemberState}
 
 
-class DigestPart(Protocol):
+class DigestSection(Protocol):
     """A service that has news to exchange with each probe."""
 
-    def fill(self, digest: PeerDigest) -> PeerDigest:
+    def add_to(self, digest: PeerDigest) -> PeerDigest:
         """Return the digest with this service's news added."""
         ...
 
-    def absorb(self, digest: PeerDigest) -> None:
+    def receive(self, digest: PeerDigest) -> None:
         """Take in the news of a peer."""
         ...
 
@@ -90,7 +90,7 @@
         configuration: ConfigurationKeeper,
         instances: InstanceList,
         random: Random,
-        parts: Sequence[DigestPart] = (),
+        sections: Sequence[DigestSection] = (),
         settings: MembershipSettings | None = None,
     ) -> None:
         self._identity = identity
@@ -98,7 +98,7 @@
         self._clock = clock
         self._configuration = configuration
         self._random = random
-        self._parts = list(parts)
+        self._sections = list(sections)
         self._settings = settings or MembershipSettings()
         # The start time makes the incarnation of a restarted instance higher
         # than that of its predecessor, without any stored state.
@@ -141,9 +141,9 @@
         """Number of live instances of the fleet, this one included."""
         return max(1, self.counts.n_live)
 
-    def add_part(self, part: DigestPart) -> None:
+    def add_section(self, section: DigestSection) -> None:
         """Exchange the news of one more service."""
-        self._parts.append(part)
+        self._sections.append(section)
 
     def on_change(self, listener: CountsListener) -> None:
         """Call a listener with the counts after each change."""
@@ -168,8 +168,8 @@
             configuration_digest="" if in_force is None else in_force.digest,
             members=tuple(map(_update_of, self._machine.select_updates(recipient))),
         )
-        for part in self._parts:
-            digest = part.fill(digest)
+        for section in self._sections:
+            digest = section.add_to(digest)
         return digest
 
     async def receive(self, digest: PeerDigest) -> PeerDigest:
@@ -219,7 +219,7 @@
             for task in tuple(self._tasks):
                 task.cancel()
 
-    async def spread_now(self, n_peers: int) -> None:
+    async def disseminate_now(self, n_peers: int) -> None:
         """Exchange digests at once with some peers; for urgent news."""
         peers = self._machine.members()
         chosen = self._random.sample(peers, min(n_peers, len(peers)))
@@ -228,12 +228,12 @@
     async def announce_leave(self) -> None:
         """Tell peers that this instance leaves."""
         self._handle(LeaveAnnounced(self._clock.now_ms()))
-        await self.spread_now(N_URGENT_PEERS)
+        await self.disseminate_now(N_URGENT_PEERS)
 
     async def finish_leave(self) -> None:
         """Tell peers that this instance is gone, so that none has to probe it."""
         self._handle(LeaveFinished(self._clock.now_ms()))
-        await self.spread_now(N_URGENT_PEERS)
+        await self.disseminate_now(N_URGENT_PEERS)
 
     def _read_list(self, entries: tuple[ListEntry, ...]) -> None:
         listed = tuple(
@@ -311,8 +311,8 @@
     def _take_in(self, digest: PeerDigest) -> None:
         sender, records = _read_records(digest)
         self._handle(DigestReceived(self._clock.now_ms(), sender, records))
-        for part in self._parts:
-            part.absorb(digest)
+        for section in self._sections:
+            section.receive(digest)
         # The answer to the peer does not wait for the document, because a slow
         # answer would look like a failed probe.
         revision = digest.configuration_revision
--- a/chestnuthall/services/_quarantine_news.py
+++ b/chestnuthall/services/_quarantine_exchange.py
@@ -32,7 +32,7 @@
     n_sent: int = 0
 
 
-class QuarantineNews:
+class QuarantineExchange:
     """Tells peers of losses and of lifted quarantines, and takes in theirs.
 
     ``zone_of`` returns the availability zone of a replica by its name. A notice
@@ -44,13 +44,13 @@
         self,
         registry: QuarantineRegistry,
         clock: Clock,
-        spread: Callable[[int], Awaitable[None]],
+        disseminate: Callable[[int], Awaitable[None]],
         zone_of: Callable[[str], str] = lambda replica_name: replica_name,
     ) -> None:
         self._zone_of = zone_of
         self._registry = registry
         self._clock = clock
-        self._spread = spread
+        self._disseminate = disseminate
         self._told: dict[str, _Told] = {}
         self._must_spread = False
         registry.on_change(self._on_change)
@@ -69,7 +69,7 @@
             await self._clock.sleep_ms(LOOK_INTERVAL_MS)
             if self._note_own_losses() or self._must_spread:
                 self._must_spread = False
-                await self._spread(N_URGENT_PEERS)
+                await self._disseminate(N_URGENT_PEERS)
 
     def suspicions(self) -> tuple[Suspicion, ...]:
         """Return the fingerprints that have cost replicas."""
@@ -83,10 +83,10 @@
         """End a quarantine here and at all peers; return whether it was known."""
         was_known = self._registry.lift(fingerprint)
         self._tell(fingerprint, frozenset(), self._clock.now_ms() + LIFTED_MS)
-        await self._spread(N_URGENT_PEERS)
+        await self._disseminate(N_URGENT_PEERS)
         return was_known
 
-    def fill(self, digest: PeerDigest) -> PeerDigest:
+    def add_to(self, digest: PeerDigest) -> PeerDigest:
         """Return the digest with the quarantine notices added."""
         self._note_own_losses()
         now_ms = self._clock.now_ms()
@@ -109,7 +109,7 @@
             fingerprint, names, told.expires_ms - now_ms, told.sequence
         )
 
-    def absorb(self, digest: PeerDigest) -> None:
+    def receive(self, digest: PeerDigest) -> None:
         """Take in the quarantine notices of a peer."""
         self._note_own_losses()
         for notice in digest.quarantines:
--- a/chestnuthall/services/_query.py
+++ b/chestnuthall/services/_query.py
@@ -55,7 +55,7 @@
     Admissions,
     Admitted,
     NotAdmitted,
-    account_of_unqueued,
+    unqueued_account,
 )
 from chestnuthall.services._claims import ClaimLedger
 from chestnuthall.services._configuration import ConfigurationKeeper
@@ -121,7 +121,7 @@
         quarantine: QuarantineRegistry,
         admissions: Admissions,
         record_outcome: Callable[[Outcome], None] | None = None,
-        spread: Callable[[], Awaitable[None]] | None = None,
+        disseminate: Callable[[], Awaitable[None]] | None = None,
         n_instances: Callable[[], int] = lambda: 1,
         shared_budget: ExtraLoad | None = None,
         retry_after_ms: float = RETRY_AFTER_MS,
@@ -140,7 +140,7 @@
         self._configuration = configuration
         self._ledger = ledger
         self._quarantine = quarantine
-        self._suspects = Suspects(quarantine, clock, spread)
+        self._suspects = Suspects(quarantine, clock, disseminate)
         self._n_instances = n_instances
         self._utilisation: dict[str, UtilisationAverage] = {}
         self._admissions = admissions
@@ -194,7 +194,7 @@
             request,
             self._clock.wall_ms(),
             self._configuration.revision,
-            account_of_unqueued(),
+            unqueued_account(),
         )
         try:
             outcome = await self._serve(progress)
@@ -338,7 +338,7 @@
         )
         return await run.complete()
 
-    def divide_searches(self, search: DividedSearch) -> None:
+    def set_divided_search(self, search: DividedSearch) -> None:
         """Run searches over several instances from now on."""
         self._divided_search = search
 
@@ -355,7 +355,9 @@
         )
         return await run.complete()
 
-    def read_context(self, class_name: str, group_name: str) -> FanOutContext | Failure:
+    def fan_out_context(
+        self, class_name: str, group_name: str
+    ) -> FanOutContext | Failure:
         """Return what a peer's search shares with the queries of this instance."""
         configuration = self._configuration.in_force
         if configuration is None:
--- a/chestnuthall/services/_relay.py
+++ b/chestnuthall/services/_relay.py
@@ -84,7 +84,7 @@
                 lowest = self._floors.get(target.group, floor)
                 self._floors[target.group] = min(lowest, floor)
 
-    def reaches_floors(self) -> bool:
+    def can_reach_coverage_floors(self) -> bool:
         """Return whether the shards of every search have replicas enough.
 
         Where they have not, this instance has an old configuration or directory,
--- a/chestnuthall/services/_service_directory.py
+++ b/chestnuthall/services/_service_directory.py
@@ -149,7 +149,7 @@
         self._maps[group_name] = (version, now_ms, partition_map)
         return partition_map
 
-    async def pin_another(
+    async def pin_replacement(
         self, group_name: str, unavailable_snapshot_ids: tuple[int, ...]
     ) -> PartitionMap | None:
         """Return None; these upstreams have no snapshots that go away."""
--- a/chestnuthall/services/_status.py
+++ b/chestnuthall/services/_status.py
@@ -9,10 +9,10 @@
 from chestnuthall.core.results import OBJECT_NOT_FOUND, Failure
 from chestnuthall.ports import Clock, ObjectStore, StoredObject
 from chestnuthall.services._configuration import ConfigurationKeeper
-from chestnuthall.services._drain_news import DrainNews
+from chestnuthall.services._drain_news import DrainExchange
 from chestnuthall.services._lifecycle import Lifecycle
 from chestnuthall.services._membership import Membership
-from chestnuthall.services._quarantine_news import QuarantineNews
+from chestnuthall.services._quarantine_exchange import QuarantineExchange
 
 _log = logging.getLogger(__name__)
 
@@ -30,7 +30,7 @@
 StatusEncoder = Callable[[Mapping[str, object]], str]
 
 
-class StatusPart(Protocol):
+class StatusSection(Protocol):
     """A service that has something to show in the status object."""
 
     @property
@@ -53,21 +53,21 @@
         clock: Clock,
         encode: StatusEncoder,
         random: Random,
-        parts: Sequence[StatusPart] = (),
+        sections: Sequence[StatusSection] = (),
     ) -> None:
         self._membership = membership
         self._store = store
         self._clock = clock
         self._encode = encode
         self._random = random
-        self._parts = list(parts)
+        self._sections = list(sections)
         self._version: int | None = None
         self._written_text = ""
         self._n_skipped = 0
 
-    def add_part(self, part: StatusPart) -> None:
+    def add_section(self, section: StatusSection) -> None:
         """Show the status of one more service."""
-        self._parts.append(part)
+        self._sections.append(section)
 
     def interval_ms(self) -> float:
         """Return the time between two writes of this instance."""
@@ -82,8 +82,8 @@
             "zone": identity.zone,
             "incarnation": self._membership.incarnation,
         }
-        for part in self._parts:
-            status[part.status_name] = part.read_status()
+        for section in self._sections:
+            status[section.status_name] = section.read_status()
         return status
 
     async def run(self) -> None:
@@ -185,7 +185,7 @@
 
     status_name = "news"
 
-    def __init__(self, drains: DrainNews, quarantines: QuarantineNews) -> None:
+    def __init__(self, drains: DrainExchange, quarantines: QuarantineExchange) -> None:
         self._drains = drains
         self._quarantines = quarantines
 
@@ -194,7 +194,7 @@
         return {
             "drains": {
                 notice.replica_name: notice.signal.value
-                for notice in self._drains.active()
+                for notice in self._drains.active_notices()
             },
             "quarantines": [
                 suspicion.fingerprint
--- a/chestnuthall/services/_suspects.py
+++ b/chestnuthall/services/_suspects.py
@@ -20,10 +20,10 @@
         self,
         registry: QuarantineRegistry,
         clock: Clock,
-        spread: Callable[[], Awaitable[None]] | None,
+        disseminate: Callable[[], Awaitable[None]] | None,
     ) -> None:
         self._clock = clock
-        self._spread = spread
+        self._disseminate = disseminate
         self._waiters: dict[str, list[Waiter]] = {}
         self._running: asyncio.Task[None] | None = None
         self._next: asyncio.Task[None] | None = None
@@ -44,7 +44,7 @@
         self, fingerprint: str, state: SuspicionState, is_local: bool
     ) -> None:
         if is_local:
-            self._begin_spread()
+            self._start_dissemination()
         if state is SuspicionState.SUSPECTED:
             return
         # The change may come out of a query's own event, which has to be
@@ -55,24 +55,26 @@
 
     async def warn_peers(self) -> None:
         """Return when the peers know, or after ``WARN_TIMEOUT_MS``."""
-        spread = self._begin_spread()
-        if spread is None:
+        dissemination = self._start_dissemination()
+        if dissemination is None:
             return
         timer = asyncio.get_running_loop().create_task(
             self._clock.sleep_ms(WARN_TIMEOUT_MS)
         )
         try:
-            await asyncio.wait((spread, timer), return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(
+                (dissemination, timer), return_when=asyncio.FIRST_COMPLETED
+            )
         finally:
             timer.cancel()
 
-    def _begin_spread(self) -> "asyncio.Task[None] | None":
+    def _start_dissemination(self) -> "asyncio.Task[None] | None":
         """Return the round of exchanges that carries everything known now.
 
         One round runs at a time and one waits, so that the loss of a zone, with
         its many suspicions, does not start a round for each of them.
         """
-        if self._spread is None:
+        if self._disseminate is None:
             return None
         loop = asyncio.get_running_loop()
         if self._running is None or self._running.done():
@@ -84,8 +86,8 @@
 
     async def _exchange(self) -> None:
         # The digest is filled after the event that made the news has ended.
-        assert self._spread is not None
-        await self._spread()
+        assert self._disseminate is not None
+        await self._disseminate()
 
     async def _exchange_after(self, running: "asyncio.Task[None]") -> None:
         await asyncio.wait((running,))
--- a/chestnuthall/services/_two_level.py
+++ b/chestnuthall/services/_two_level.py
@@ -172,7 +172,7 @@
         context = self._read_context(call.class_name, call.group)
         if isinstance(context, Failure):
             return context
-        partition_map = self._directory.map_of(call.group, call.snapshot_id)
+        partition_map = self._directory.find_map(call.group, call.snapshot_id)
         if partition_map is None:
             return SNAPSHOT_GONE.with_reason("the peer does not know the snapshot")
         wanted = set(call.shard_ids)
--- a/chestnuthall/services/tests/_world.py
+++ b/chestnuthall/services/tests/_world.py
@@ -190,7 +190,7 @@
 class World:
     """One instance's services; create it inside a virtual-time loop."""
 
-    def __init__(self, seed, upstreams=None, spread=None):
+    def __init__(self, seed, upstreams=None, disseminate=None):
         self.clock = LoopTimeClock()
         self.store = FakeStore()
         self.random = Random(seed)
@@ -215,7 +215,7 @@
             admissions=Admissions(self.clock),
             ledger=ClaimLedger(self.store, self.clock, self.store, LedgerSettings()),
             quarantine=self.register,
-            spread=spread,
+            disseminate=disseminate,
         )
         document = EnvironmentDocument(
             classes=(
--- a/chestnuthall/services/tests/test_crashing_requests.py
+++ b/chestnuthall/services/tests/test_crashing_requests.py
@@ -20,14 +20,14 @@
         self.upstreams = FakeUpstreams(LoopTimeClock(), Random(1))
         self.can_talk = can_talk
         self.worlds = [
-            World(i, self.upstreams, lambda i=i: self.spread(i))
+            World(i, self.upstreams, lambda i=i: self.disseminate(i))
             for i in range(N_INSTANCES)
         ]
         for world in self.worlds:
             # Credit for hedges, as after a calm stretch.
             world.query._budgets["c"].record_calls(range(1_000), 0.0, 0.0)
 
-    async def spread(self, sender):
+    async def disseminate(self, sender):
         if not self.can_talk:
             await asyncio.sleep(1.0)
             return
--- a/chestnuthall/services/tests/test_decision_log.py
+++ b/chestnuthall/services/tests/test_decision_log.py
@@ -22,7 +22,7 @@
     RetryAdvice,
     RunState,
 )
-from chestnuthall.services import DECISIONS, DecisionLog
+from chestnuthall.services import DECISION_LOGGER_NAME, DecisionLog
 from chestnuthall.services._decision_log import N_LINES_BURST
 
 ACCOUNT = Account(
@@ -65,8 +65,8 @@
 
 @pytest.fixture
 def lines(caplog):
-    logging.getLogger(DECISIONS).propagate = True
-    caplog.set_level(logging.INFO, logger=DECISIONS)
+    logging.getLogger(DECISION_LOGGER_NAME).propagate = True
+    caplog.set_level(logging.INFO, logger=DECISION_LOGGER_NAME)
     return lambda: caplog.records
 
 
@@ -105,7 +105,7 @@
 
 def test_lines_wait_for_the_response(caplog):
     """The lines of a large search delayed its response by 4 ms."""
-    caplog.set_level(logging.INFO, DECISIONS)
+    caplog.set_level(logging.INFO, DECISION_LOGGER_NAME)
     later = []
     log = DecisionLog(Clock(), Metrics(), later.append)
     log.request_ended(LATE, DECISIONS_MADE)
--- a/chestnuthall/services/tests/test_fault_matrix.py
+++ b/chestnuthall/services/tests/test_fault_matrix.py
@@ -72,7 +72,7 @@
         self.n_answered = 0
         self.n_part = 2 if kind == "search" else 1
         world.upstreams.on_event = self.on_event
-        pin, pin_another = world.directory.pin, world.directory.pin_another
+        pin, pin_replacement = world.directory.pin, world.directory.pin_replacement
 
         def observed_pin(group, excluded=()):
             # A request pins twice: to learn its cost, and once it is admitted.
@@ -84,12 +84,12 @@
                 return found
             return pin(group, excluded)
 
-        async def observed_pin_another(group, unavailable_snapshot_ids):
+        async def observed_pin_replacement(group, unavailable_snapshot_ids):
             self.reach("replanning")
-            return await pin_another(group, unavailable_snapshot_ids)
+            return await pin_replacement(group, unavailable_snapshot_ids)
 
         world.directory.pin = observed_pin
-        world.directory.pin_another = observed_pin_another
+        world.directory.pin_replacement = observed_pin_replacement
         if step == "hedged":
             world.upstreams.slow_ms.update(s1=100.0)
         if step == "replanning":
--- a/chestnuthall/services/tests/test_fleet_use.py
+++ b/chestnuthall/services/tests/test_fleet_usage.py
@@ -11,8 +11,8 @@
     UpstreamGroup,
 )
 from chestnuthall.ports import MemberUpdate, PeerDigest
-from chestnuthall.services import Admissions, Admitted, FleetUse
-from chestnuthall.services._fleet_use import N_USES_MAX
+from chestnuthall.services import Admissions, Admitted, FleetUsageExchange
+from chestnuthall.services._fleet_usage import N_USES_MAX
 from chestnuthall.standins.virtual_time import run_virtual
 
 
@@ -68,7 +68,9 @@
         document = make_document()
         self.admission = self.admissions.of(document, document.groups[0], 40.0)
         members = tuple(MemberUpdate(x, x, "z", "alive", 0) for x in peers if x != name)
-        self.use = FleetUse(name, self.clock, self.admissions, lambda: members)
+        self.use = FleetUsageExchange(
+            name, self.clock, self.admissions, lambda: members
+        )
         self.name = name
 
     def tell(self):
@@ -79,7 +81,7 @@
             configuration_revision=1,
             configuration_digest="",
         )
-        return self.use.fill(digest)
+        return self.use.add_to(digest)
 
     async def serve(self, n_queries, cost=10.0):
         for number in range(n_queries):
@@ -98,13 +100,13 @@
     a, b, c = (Node(name, ("a", "b", "c")) for name in "abc")
     await a.serve(1)
     for told in (a.tell(), b.tell(), a.tell()):
-        b.use.absorb(told)
-        c.use.absorb(told)
+        b.use.receive(told)
+        c.use.receive(told)
     await a.serve(2)
-    b.use.absorb(a.tell())
+    b.use.receive(a.tell())
     before = c.service()
     for told in (b.tell(), a.tell(), b.tell()):
-        c.use.absorb(told)
+        c.use.receive(told)
     return c.service() - before
 
 
@@ -114,8 +116,8 @@
     before = a.service()
     for n_queries in (0, 2):
         await a.serve(n_queries)
-        b.use.absorb(a.tell())
-        a.use.absorb(b.tell())
+        b.use.receive(a.tell())
+        a.use.receive(b.tell())
     return a.service() - before
 
 
@@ -124,18 +126,18 @@
     await a.serve(30)
     await b.serve(1)
     for _ in range(2):
-        a.use.update_parts()
-        b.use.update_parts()
-        a.use.absorb(b.tell())
-        b.use.absorb(a.tell())
-    a.use.update_parts()
-    b.use.update_parts()
+        a.use.update_quotas()
+        b.use.update_quotas()
+        a.use.receive(b.tell())
+        b.use.receive(a.tell())
+    a.use.update_quotas()
+    b.use.update_quotas()
     return a.admission.limit_cost + b.admission.limit_cost
 
 
 async def alone():
     a = Node("a", ("a", "b", "c", "d"))
-    a.use.update_parts()
+    a.use.update_quotas()
     return a.admission.limit_cost
 
 
@@ -177,7 +179,7 @@
         for name in names:
             node = Node(name, names)
             await node.serve(1)
-            hub.use.absorb(node.tell())
+            hub.use.receive(node.tell())
         return hub.tell()
 
     assert len(run_virtual(tell()).uses) == N_USES_MAX
