--- a/benchmarks/_fleet.py
+++ b/benchmarks/_fleet.py
@@ -15,7 +15,7 @@
 from chestnuthall.core.quarantine import QuarantineRegistry, QuarantineSettings
 from chestnuthall.core.results import CONFIGURATION_REJECTED, INVALID_REQUEST
 from chestnuthall.core.routing import RouterSettings
-from chestnuthall.ports import InstanceRole, ListEntry, PeerService
+from chestnuthall.ports import InstanceListEntry, InstanceRole, PeerService
 from chestnuthall.services import (
     Admissions,
     ClaimLedger,
@@ -107,8 +107,8 @@
             self.caller.set_connection_budget(group.name, budget)
 
 
-def _read_entry(text: str) -> ListEntry:
-    return ListEntry(text, InstanceRole.ENTRY, "", text, text, False)
+def _read_entry(text: str) -> InstanceListEntry:
+    return InstanceListEntry(text, InstanceRole.ENTRY, "", text, text, False)
 
 
 class VirtualFleet:
--- a/chestnuthall/adapters/callers/_admin.py
+++ b/chestnuthall/adapters/callers/_admin.py
@@ -10,7 +10,7 @@
 from chestnuthall.adapters.callers._encode import encode_json, encode_outcome
 from chestnuthall.adapters.http import HttpRequest, HttpResponse
 from chestnuthall.core.results import INVALID_REQUEST, Failure
-from chestnuthall.ports import InstanceAdministration
+from chestnuthall.ports import InstanceAdminService
 
 Route = Callable[[HttpRequest], Awaitable[HttpResponse]]
 Name = Annotated[str, Field(min_length=1, max_length=128)]
@@ -42,7 +42,7 @@
 class AdminRoutes:
     """Turns operators' HTTP requests into calls of the administration."""
 
-    def __init__(self, administration: InstanceAdministration) -> None:
+    def __init__(self, administration: InstanceAdminService) -> None:
         self._administration = administration
 
     def routes(self) -> dict[tuple[str, str], Route]:
--- a/chestnuthall/adapters/documents/_instances.py
+++ b/chestnuthall/adapters/documents/_instances.py
@@ -6,7 +6,7 @@
 from pydantic import BaseModel, ConfigDict, ValidationError
 
 from chestnuthall.core.results import INVALID_REQUEST, Failure
-from chestnuthall.ports import InstanceRole, ListEntry
+from chestnuthall.ports import InstanceListEntry, InstanceRole
 
 
 class InstanceModel(BaseModel):
@@ -21,9 +21,9 @@
     peer_address: str = ""
     state: Literal["live", "leaving"] = "live"
 
-    def to_core(self) -> ListEntry:
+    def to_core(self) -> InstanceListEntry:
         """Return the entry as the services see it."""
-        return ListEntry(
+        return InstanceListEntry(
             name=self.name,
             role=InstanceRole(self.role),
             zone=self.zone,
--- a/chestnuthall/adapters/upstreams/_caller.py
+++ b/chestnuthall/adapters/upstreams/_caller.py
@@ -26,7 +26,7 @@
     DEADLINE_PASSED,
     Failure,
 )
-from chestnuthall.ports import CallListener, CancelCall, Clock
+from chestnuthall.ports import CallCallback, CancelCall, Clock
 
 # Connections to one replica where a fleet is too large for a fixed part of the cap.
 N_CONNECTIONS_SCARCE = 2
@@ -202,7 +202,7 @@
             )
         return await self._exchange_call(call, pool, connection, remaining_ms)
 
-    def begin(self, call: ShardCall, on_result: CallListener) -> CancelCall | None:
+    def start_call(self, call: ShardCall, on_result: CallCallback) -> CancelCall | None:
         """Start a call at once if a connection is idle, and return its cancellation.
 
         Returns None where the call has to wait for a connection. The caller
@@ -233,7 +233,7 @@
         return cancel
 
     async def _report_loss(
-        self, pool: ConnectionPool, failure: Failure, on_result: CallListener
+        self, pool: ConnectionPool, failure: Failure, on_result: CallCallback
     ) -> None:
         on_result(await self._explain_loss(pool, failure))
 
--- a/chestnuthall/cli/_session.py
+++ b/chestnuthall/cli/_session.py
@@ -24,7 +24,7 @@
 from chestnuthall.core.burn import BurnReport, burn_report
 from chestnuthall.core.configuration import PromotionPolicy, RevisionRecord
 from chestnuthall.core.results import Failure
-from chestnuthall.ports import ListedInstance
+from chestnuthall.ports import InstanceSummary
 from chestnuthall.services import FleetView, Publication, RevisionBook, read_burn
 
 PROFILE_VARIABLE = "CHESTNUTHALL_PROFILE"
@@ -139,11 +139,11 @@
         ) from None
 
 
-def _read_listed(text: str) -> ListedInstance | Failure:
+def _read_listed(text: str) -> InstanceSummary | Failure:
     model = read_instance(text)
     if isinstance(model, Failure):
         return model
-    return ListedInstance(
+    return InstanceSummary(
         model.name, model.role, model.zone, model.address, model.state
     )
 
--- a/chestnuthall/cli/tests/test_publication.py
+++ b/chestnuthall/cli/tests/test_publication.py
@@ -20,7 +20,7 @@
 )
 from chestnuthall.core.configuration import PromotionPolicy, PromotionVerdict
 from chestnuthall.core.results import STORE_UNAVAILABLE, STORE_WRITE_UNKNOWN
-from chestnuthall.ports import ListedInstance
+from chestnuthall.ports import InstanceSummary
 from chestnuthall.services import (
     Accepted,
     FleetView,
@@ -86,7 +86,7 @@
 
 def _read_listed(text):
     body = json.loads(text)
-    return ListedInstance(body["name"], "entry", "a", body["address"], "live")
+    return InstanceSummary(body["name"], "entry", "a", body["address"], "live")
 
 
 def test_loser_of_a_race_is_told_who_won_and_what_differs():
--- a/chestnuthall/daemon/_instance.py
+++ b/chestnuthall/daemon/_instance.py
@@ -32,7 +32,7 @@
 from chestnuthall.core.model import Configuration
 from chestnuthall.core.quarantine import QuarantineRegistry, QuarantineSettings
 from chestnuthall.core.results import Failure
-from chestnuthall.ports import ListEntry, Metrics
+from chestnuthall.ports import InstanceListEntry, Metrics
 from chestnuthall.services import (
     Administration,
     Admissions,
@@ -82,7 +82,7 @@
     return StatsdMetrics(statsd.host, statsd.port, statsd.prefix)
 
 
-def _read_list_entry(text: str) -> ListEntry | None:
+def _read_list_entry(text: str) -> InstanceListEntry | None:
     """Return an entry of the platform's list, or None if it is invalid."""
     model = read_instance(text)
     return None if isinstance(model, Failure) else model.to_core()
--- a/chestnuthall/ports/__init__.py
+++ b/chestnuthall/ports/__init__.py
@@ -4,21 +4,21 @@
     Clock,
 )
 from chestnuthall.ports._driving import (
-    CallerListener,
+    CallerServer,
     ConfigurationReceiver,
-    InstanceAdministration,
-    QuarantineView,
+    InstanceAdminService,
+    QuarantineStatus,
     RequestHandler,
     RequestTracker,
 )
 from chestnuthall.ports._feeds import (
     FeedAnswer,
+    FeedClient,
     FeedSource,
-    PeerFeeds,
 )
 from chestnuthall.ports._instances import (
+    InstanceListEntry,
     InstanceRole,
-    ListEntry,
 )
 from chestnuthall.ports._metrics import (
     Metrics,
@@ -29,9 +29,9 @@
     WatchBatch,
 )
 from chestnuthall.ports._operators import (
-    InstanceAdmin,
+    InstanceAdminClient,
     InstanceStatus,
-    ListedInstance,
+    InstanceSummary,
     QuarantineEntry,
     RevisionCodec,
 )
@@ -47,7 +47,7 @@
     ShardSetCall,
 )
 from chestnuthall.ports._shards import (
-    CallListener,
+    CallCallback,
     CancelCall,
     DirectShardCaller,
     MapFetcher,
@@ -57,35 +57,35 @@
 )
 
 __all__ = [
-    "CallListener",
+    "CallCallback",
     "CancelCall",
     "DirectShardCaller",
     "MapFetcher",
     "MapFetchingCaller",
-    "CallerListener",
+    "CallerServer",
     "ClassUse",
     "Clock",
     "ConfigurationReceiver",
     "DrainNotice",
-    "InstanceAdmin",
-    "InstanceAdministration",
+    "InstanceAdminClient",
+    "InstanceAdminService",
     "InstanceRole",
     "InstanceStatus",
-    "ListEntry",
-    "ListedInstance",
+    "InstanceListEntry",
+    "InstanceSummary",
     "MemberUpdate",
     "Metrics",
     "FeedAnswer",
     "FeedSource",
     "ObjectStore",
-    "PeerFeeds",
+    "FeedClient",
     "PeerConfiguration",
     "PeerDigest",
     "PeerService",
     "PeerTransport",
     "QuarantineEntry",
     "QuarantineNotice",
-    "QuarantineView",
+    "QuarantineStatus",
     "ReplicaHealth",
     "RequestHandler",
     "RequestTracker",
--- a/chestnuthall/ports/_driving.py
+++ b/chestnuthall/ports/_driving.py
@@ -46,7 +46,7 @@
         ...
 
 
-class CallerListener(Protocol):
+class CallerServer(Protocol):
     """The listener for callers, as a graceful stop uses it."""
 
     def announce_close(self) -> None:
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class QuarantineView:
+class QuarantineStatus:
     """One request that has cost replicas, as operators see it."""
 
     fingerprint: str
@@ -72,7 +72,7 @@
     is_quarantined: bool
 
 
-class InstanceAdministration(Protocol):
+class InstanceAdminService(Protocol):
     """What operators do to one instance."""
 
     def drain_instance(self, name: str) -> Failure | None:
@@ -87,7 +87,7 @@
         """End the drain of a replica, whatever began it."""
         ...
 
-    def quarantines(self) -> tuple[QuarantineView, ...]:
+    def quarantines(self) -> tuple[QuarantineStatus, ...]:
         """Return the requests that have cost replicas."""
         ...
 
--- a/chestnuthall/ports/_feeds.py
+++ b/chestnuthall/ports/_feeds.py
@@ -18,7 +18,7 @@
     age_ms: float
 
 
-class PeerFeeds(Protocol):
+class FeedClient(Protocol):
     """Reads the objects that peers know."""
 
     async def watch(
--- a/chestnuthall/ports/_instances.py
+++ b/chestnuthall/ports/_instances.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ListEntry:
+class InstanceListEntry:
     """One instance as the platform lists it; the list lags.
 
     The name of an upstream is the name of its replica. ``peer_address`` is
--- a/chestnuthall/ports/_operators.py
+++ b/chestnuthall/ports/_operators.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ListedInstance:
+class InstanceSummary:
     """An entry of the platform's list; ``role`` is entry or upstream."""
 
     name: str
@@ -48,7 +48,7 @@
     is_refused: bool
 
 
-class InstanceAdmin(Protocol):
+class InstanceAdminClient(Protocol):
     """The operators' interface of an instance; every failure is returned."""
 
     async def status(self, address: str, timeout_ms: float) -> InstanceStatus | Failure:
--- a/chestnuthall/ports/_shards.py
+++ b/chestnuthall/ports/_shards.py
@@ -51,7 +51,7 @@
     """Calls replicas that have partition maps."""
 
 
-CallListener = Callable[[ShardAnswer | Failure], None]
+CallCallback = Callable[[ShardAnswer | Failure], None]
 CancelCall = Callable[[], None]
 
 
@@ -62,7 +62,7 @@
     The listener is called once, unless the call is cancelled before.
     """
 
-    def begin(self, call: ShardCall, on_result: CallListener) -> CancelCall | None:
+    def start_call(self, call: ShardCall, on_result: CallCallback) -> CancelCall | None:
         """Start a call and return its cancellation; None if it has to wait."""
         ...
 
--- a/chestnuthall/services/_administration.py
+++ b/chestnuthall/services/_administration.py
@@ -2,7 +2,7 @@
 
 from chestnuthall.core.drains import DrainSignal
 from chestnuthall.core.results import NOT_FOUND, Failure
-from chestnuthall.ports import Clock, QuarantineView
+from chestnuthall.ports import Clock, QuarantineStatus
 from chestnuthall.services._directory import Directory
 from chestnuthall.services._drain_news import DrainExchange
 from chestnuthall.services._lifecycle import Lifecycle
@@ -48,11 +48,11 @@
         now_ms = self._clock.now_ms()
         self._drains.on_recovered(name, DrainSignal.OPERATOR, now_ms)
 
-    def quarantines(self) -> tuple[QuarantineView, ...]:
+    def quarantines(self) -> tuple[QuarantineStatus, ...]:
         """Return the requests that have cost replicas."""
         now_ms = self._clock.now_ms()
         return tuple(
-            QuarantineView(
+            QuarantineStatus(
                 fingerprint=item.fingerprint,
                 replica_names=tuple(sorted(item.replica_names)),
                 expires_in_ms=item.expires_ms - now_ms,
--- a/chestnuthall/services/_drain_news.py
+++ b/chestnuthall/services/_drain_news.py
@@ -24,8 +24,8 @@
 from chestnuthall.ports import (
     Clock,
     DrainNotice,
+    InstanceListEntry,
     InstanceRole,
-    ListEntry,
     MapFetchingCaller,
     PeerDigest,
 )
@@ -113,7 +113,7 @@
         if notices:
             self._handle(NoticesReceived(self._clock.now_ms(), notices))
 
-    def _read_list(self, entries: tuple[ListEntry, ...]) -> None:
+    def _read_list(self, entries: tuple[InstanceListEntry, ...]) -> None:
         upstreams = [item for item in entries if item.role is InstanceRole.UPSTREAM]
         leaving = {item.name for item in upstreams if item.is_leaving}
         live = {item.name for item in upstreams} - leaving
--- a/chestnuthall/services/_fan_out_run.py
+++ b/chestnuthall/services/_fan_out_run.py
@@ -127,7 +127,9 @@
         if self._direct is None:
             return None
         started_ms = self._clock.now_ms()
-        return self._direct.begin(call, partial(self._take_result, call, started_ms))
+        return self._direct.start_call(
+            call, partial(self._take_result, call, started_ms)
+        )
 
     @_perform.register
     def _(self, action: Cancel) -> None:
--- a/chestnuthall/services/_fleet_view.py
+++ b/chestnuthall/services/_fleet_view.py
@@ -13,9 +13,9 @@
 from chestnuthall.core.results import NOT_FOUND, Failure
 from chestnuthall.ports import (
     Clock,
-    InstanceAdmin,
+    InstanceAdminClient,
     InstanceStatus,
-    ListedInstance,
+    InstanceSummary,
     ObjectStore,
     QuarantineEntry,
 )
@@ -30,7 +30,7 @@
 SUCCESS_NAMES = ("OK", "OK_PARTIAL")
 
 MapReader = Callable[[str], PartitionMap | Failure]
-ListedReader = Callable[[str], ListedInstance | Failure]
+ListedReader = Callable[[str], InstanceSummary | Failure]
 ProgressListener = Callable[[int, int], None]
 
 
@@ -38,7 +38,7 @@
 class InstanceObservation:
     """A listed instance with its status, or why there is none."""
 
-    listed: ListedInstance
+    listed: InstanceSummary
     status: InstanceStatus | Failure
 
 
@@ -58,7 +58,7 @@
     def __init__(
         self,
         store: ObjectStore,
-        admin: InstanceAdmin,
+        admin: InstanceAdminClient,
         clock: Clock,
         read_listed: ListedReader,
         read_map: MapReader,
@@ -70,7 +70,7 @@
         self._read_listed = read_listed
         self._slots = asyncio.Semaphore(N_ASKED_AT_ONCE)
 
-    async def listed(self) -> tuple[ListedInstance, ...] | Failure:
+    async def listed(self) -> tuple[InstanceSummary, ...] | Failure:
         """Return the platform's list of instances and upstreams."""
         objects = await self._store.list_kind(INSTANCE_KIND, STORE_TIMEOUT_MS)
         if isinstance(objects, Failure):
@@ -78,7 +78,7 @@
         read = [self._read_listed(item.value) for item in objects]
         return tuple(item for item in read if not isinstance(item, Failure))
 
-    async def entries(self) -> tuple[ListedInstance, ...] | Failure:
+    async def entries(self) -> tuple[InstanceSummary, ...] | Failure:
         """Return the entry instances that are not leaving."""
         listed = await self.listed()
         if isinstance(listed, Failure):
@@ -86,14 +86,14 @@
         return tuple(x for x in listed if x.role == "entry" and x.state == "live")
 
     async def query_status(
-        self, instances: tuple[ListedInstance, ...]
+        self, instances: tuple[InstanceSummary, ...]
     ) -> tuple[InstanceObservation, ...]:
         """Ask instances for their status."""
         return tuple(
             await asyncio.gather(*(self._query_instance(item) for item in instances))
         )
 
-    async def _query_instance(self, listed: ListedInstance) -> InstanceObservation:
+    async def _query_instance(self, listed: InstanceSummary) -> InstanceObservation:
         async with self._slots:
             status = await self._admin.status(listed.address, ADMIN_TIMEOUT_MS)
         return InstanceObservation(listed, status)
@@ -124,7 +124,7 @@
         return ReplicaObservation(group, shard_id, replica, state)
 
     async def announce(
-        self, instances: tuple[ListedInstance, ...], stored_text: str
+        self, instances: tuple[InstanceSummary, ...], stored_text: str
     ) -> int:
         """Tell instances of an accepted revision; return how many took it in.
 
@@ -136,13 +136,13 @@
         )
         return sum(1 for result in results if not isinstance(result, Failure))
 
-    async def _announce(self, listed: ListedInstance, text: str) -> int | Failure:
+    async def _announce(self, listed: InstanceSummary, text: str) -> int | Failure:
         async with self._slots:
             return await self._admin.announce(listed.address, text, ADMIN_TIMEOUT_MS)
 
     async def wait_in_force(
         self,
-        instances: tuple[ListedInstance, ...],
+        instances: tuple[InstanceSummary, ...],
         record: RevisionRecord,
         timeout_ms: float,
         on_progress: ProgressListener,
@@ -166,7 +166,7 @@
     async def evidence(
         self,
         record: RevisionRecord,
-        instances: tuple[ListedInstance, ...],
+        instances: tuple[InstanceSummary, ...],
         fast_burn_classes: tuple[str, ...],
     ) -> TrialEvidence:
         """Gather what the instances of an environment show about a revision."""
--- a/chestnuthall/services/_instance_list.py
+++ b/chestnuthall/services/_instance_list.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from chestnuthall.core.results import Failure
-from chestnuthall.ports import Clock, ListEntry, ObjectStore, StoredObject
+from chestnuthall.ports import Clock, InstanceListEntry, ObjectStore, StoredObject
 
 _log = logging.getLogger(__name__)
 
@@ -19,9 +19,9 @@
 
 N_REPORT_ATTEMPTS = 3
 
-ListEntryReader = Callable[[str], ListEntry | None]
+ListEntryReader = Callable[[str], InstanceListEntry | None]
 LeavingMarker = Callable[[str], str | Failure]
-ListListener = Callable[[tuple[ListEntry, ...]], None]
+ListListener = Callable[[tuple[InstanceListEntry, ...]], None]
 
 
 class InstanceList:
@@ -33,10 +33,10 @@
         self._store = store
         self._clock = clock
         self._read_entry = read_entry
-        self._entries: dict[str, ListEntry] = {}
+        self._entries: dict[str, InstanceListEntry] = {}
         self._listeners: list[ListListener] = []
 
-    def entries(self) -> tuple[ListEntry, ...]:
+    def entries(self) -> tuple[InstanceListEntry, ...]:
         """Return the last known list; empty before it was read."""
         return tuple(self._entries.values())
 
--- a/chestnuthall/services/_lifecycle.py
+++ b/chestnuthall/services/_lifecycle.py
@@ -3,7 +3,7 @@
 import asyncio
 import logging
 
-from chestnuthall.ports import CallerListener, Clock
+from chestnuthall.ports import CallerServer, Clock
 
 _log = logging.getLogger(__name__)
 
@@ -69,7 +69,7 @@
         if self._n_in_flight == 0:
             self._idle.set()
 
-    async def drain(self, listener: CallerListener, was_ready: bool = True) -> None:
+    async def drain(self, listener: CallerServer, was_ready: bool = True) -> None:
         """Serve on for the notice, then stop listening and finish all requests.
 
         An instance that was never ready has no callers to move away. Without a
@@ -85,7 +85,7 @@
                 "stop ended before all requests", extra={"n_left": self._n_in_flight}
             )
 
-    async def _drain(self, listener: CallerListener, was_ready: bool) -> None:
+    async def _drain(self, listener: CallerServer, was_ready: bool) -> None:
         if was_ready:
             await self._clock.sleep_ms(self._quiet_ms)
         listener.announce_close()
--- a/chestnuthall/services/_membership.py
+++ b/chestnuthall/services/_membership.py
@@ -34,8 +34,8 @@
 from chestnuthall.core.results import NOT_READY, Failure
 from chestnuthall.ports import (
     Clock,
+    InstanceListEntry,
     InstanceRole,
-    ListEntry,
     MemberUpdate,
     PeerConfiguration,
     PeerDigest,
@@ -235,7 +235,7 @@
         self._handle(LeaveFinished(self._clock.now_ms()))
         await self.disseminate_now(N_URGENT_PEERS)
 
-    def _read_list(self, entries: tuple[ListEntry, ...]) -> None:
+    def _read_list(self, entries: tuple[InstanceListEntry, ...]) -> None:
         listed = tuple(
             ListedInstance(item.name, item.peer_address, item.zone, item.is_leaving)
             for item in entries
--- a/chestnuthall/services/_peer_sets.py
+++ b/chestnuthall/services/_peer_sets.py
@@ -6,7 +6,7 @@
 from chestnuthall.core.results import Failure
 from chestnuthall.core.routing import HashRing, combine_remote_shards
 from chestnuthall.ports import (
-    CallListener,
+    CallCallback,
     CancelCall,
     DirectShardCaller,
     ShardCaller,
@@ -76,10 +76,10 @@
         """Run one call and return the whole answer that echoes its id."""
         return await self._caller(call).call(call)
 
-    def begin(self, call: ShardCall, on_result: CallListener) -> CancelCall | None:
+    def start_call(self, call: ShardCall, on_result: CallCallback) -> CancelCall | None:
         """Start a call and return its cancellation; None if it has to wait."""
         direct = self._direct[call.shard_set is not None]
-        return None if direct is None else direct.begin(call, on_result)
+        return None if direct is None else direct.start_call(call, on_result)
 
     def set_connection_budget(
         self,
--- a/chestnuthall/services/_revisions.py
+++ b/chestnuthall/services/_revisions.py
@@ -24,7 +24,7 @@
 )
 from chestnuthall.ports import (
     Clock,
-    ListedInstance,
+    InstanceSummary,
     ObjectStore,
     RevisionCodec,
     StoredObject,
@@ -51,7 +51,7 @@
     record: RevisionRecord
     stored_text: str
     replaced_by: RevisionRecord | None = None
-    instances: tuple[ListedInstance, ...] = ()
+    instances: tuple[InstanceSummary, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
--- a/chestnuthall/services/_shared_store.py
+++ b/chestnuthall/services/_shared_store.py
@@ -8,8 +8,8 @@
 from chestnuthall.ports import (
     Clock,
     FeedAnswer,
+    FeedClient,
     ObjectStore,
-    PeerFeeds,
     StoredObject,
     WatchBatch,
 )
@@ -42,7 +42,7 @@
         self,
         store: ObjectStore,
         clock: Clock,
-        feeds: PeerFeeds,
+        feeds: FeedClient,
         kinds: Collection[str],
         timing: FeedTiming,
         selector: LeaderSelector,
