--- a/benchmarks/_fleet.py
+++ b/benchmarks/_fleet.py
@@ -12,16 +12,16 @@
 from chestnuthall.adapters.metrics import NullMetrics
 from chestnuthall.core.claims import LedgerSettings
 from chestnuthall.core.model import Configuration, EnvironmentDocument
-from chestnuthall.core.quarantine import QuarantineRegister, QuarantineSettings
+from chestnuthall.core.quarantine import QuarantineRegistry, QuarantineSettings
 from chestnuthall.core.results import CONFIGURATION_REJECTED, INVALID_REQUEST
 from chestnuthall.core.routing import RouterSettings
-from chestnuthall.ports import InstanceRole, ListEntry, PeerService
+from chestnuthall.ports import InstanceListEntry, InstanceRole, PeerService
 from chestnuthall.services import (
     Admissions,
     ClaimLedger,
     ConfigurationKeeper,
     Directory,
-    FleetUse,
+    FleetUsageExchange,
     Identity,
     InstanceList,
     Membership,
@@ -54,19 +54,19 @@
             "trial",
             store,
             clock,
-            lambda text: CONFIGURATION_REJECTED.because("the fake store has none"),
+            lambda text: CONFIGURATION_REJECTED.with_reason("the fake store has none"),
         )
         self.directory = Directory(
             store,
             self.caller,
             clock,
-            lambda text: INVALID_REQUEST.because("the fake store has none"),
+            lambda text: INVALID_REQUEST.with_reason("the fake store has none"),
             self.zone,
             random,
             fleet.router_settings,
         )
         admissions = Admissions(clock)
-        self.fleet_use = FleetUse(
+        self.fleet_usage = FleetUsageExchange(
             self.name, clock, admissions, lambda: self.membership.members()
         )
         self.instances = InstanceList(store, clock, _read_entry)
@@ -77,7 +77,7 @@
             self.configuration,
             self.instances,
             random,
-            parts=(self.fleet_use,),
+            sections=(self.fleet_usage,),
         )
         self.query = QueryService(
             identity=identity,
@@ -87,8 +87,8 @@
             directory=self.directory,
             configuration=self.configuration,
             ledger=ClaimLedger(store, clock, JsonPartitionCodec(), LedgerSettings()),
-            quarantine=QuarantineRegister(QuarantineSettings()),
-            spread=lambda: self.membership.spread_now(deployment.n_instances),
+            quarantine=QuarantineRegistry(QuarantineSettings()),
+            disseminate=lambda: self.membership.disseminate_now(deployment.n_instances),
             n_instances=lambda: self.membership.n_instances,
             admissions=admissions,
         )
@@ -107,8 +107,8 @@
             self.caller.set_connection_budget(group.name, budget)
 
 
-def _read_entry(text: str) -> ListEntry:
-    return ListEntry(text, InstanceRole.ENTRY, "", text, text, False)
+def _read_entry(text: str) -> InstanceListEntry:
+    return InstanceListEntry(text, InstanceRole.ENTRY, "", text, text, False)
 
 
 class VirtualFleet:
@@ -159,7 +159,7 @@
         for instance in self.instances:
             self._tasks.append(loop.create_task(instance.instances.run()))
             self._tasks.append(loop.create_task(instance.membership.run()))
-            self._tasks.append(loop.create_task(instance.fleet_use.run()))
+            self._tasks.append(loop.create_task(instance.fleet_usage.run()))
         await self.clock.sleep_ms(SETTLE_MS)
 
     async def stop(self) -> None:
--- a/chestnuthall/adapters/callers/_admin.py
+++ b/chestnuthall/adapters/callers/_admin.py
@@ -10,7 +10,7 @@
 from chestnuthall.adapters.callers._encode import encode_json, encode_outcome
 from chestnuthall.adapters.http import HttpRequest, HttpResponse
 from chestnuthall.core.results import INVALID_REQUEST, Failure
-from chestnuthall.ports import InstanceAdministration
+from chestnuthall.ports import InstanceAdminService
 
 Route = Callable[[HttpRequest], Awaitable[HttpResponse]]
 Name = Annotated[str, Field(min_length=1, max_length=128)]
@@ -42,7 +42,7 @@
 class AdminRoutes:
     """Dispatches HTTP requests of operators to the administration service."""
 
-    def __init__(self, administration: InstanceAdministration) -> None:
+    def __init__(self, administration: InstanceAdminService) -> None:
         self._administration = administration
 
     def routes(self) -> dict[tuple[str, str], Route]:
@@ -57,7 +57,7 @@
         try:
             model = DrainModel.model_validate_json(request.body)
         except ValidationError as error:
-            return encode_outcome(INVALID_REQUEST.because(str(error)))
+            return encode_outcome(INVALID_REQUEST.with_reason(str(error)))
         failure = self._drain(model)
         if failure is not None:
             return encode_outcome(failure)
@@ -79,7 +79,7 @@
     async def _serve_lift(self, request: HttpRequest) -> HttpResponse:
         fingerprints = parse_qs(request.query).get("fingerprint", [])
         if len(fingerprints) != 1:
-            return encode_outcome(INVALID_REQUEST.because("give one fingerprint"))
+            return encode_outcome(INVALID_REQUEST.with_reason("give one fingerprint"))
         failure = await self._administration.lift_quarantine(fingerprints[0])
         if failure is not None:
             return encode_outcome(failure)
--- a/chestnuthall/adapters/documents/_accounts.py
+++ b/chestnuthall/adapters/documents/_accounts.py
@@ -20,6 +20,8 @@
     except ValidationError as error:
         first_error = error.errors()[0]
         path = ".".join(str(step) for step in first_error["loc"])
-        return INVALID_REQUEST.because(f"invalid account: {path}: {first_error['msg']}")
+        return INVALID_REQUEST.with_reason(
+            f"invalid account: {path}: {first_error['msg']}"
+        )
     except ValueError as error:
-        return INVALID_REQUEST.because(f"not JSON: {error}")
+        return INVALID_REQUEST.with_reason(f"not JSON: {error}")
--- a/chestnuthall/adapters/documents/_burn.py
+++ b/chestnuthall/adapters/documents/_burn.py
@@ -10,7 +10,7 @@
     BurnLedger,
     SlotKey,
     Tally,
-    WriterMark,
+    WriterState,
 )
 from chestnuthall.core.results import INTERNAL_ERROR, Failure
 
@@ -55,14 +55,16 @@
         try:
             model = _BurnModel.model_validate_json(text)
         except ValidationError as error:
-            return INTERNAL_ERROR.because(f"the stored burn ledger is invalid: {error}")
+            return INTERNAL_ERROR.with_reason(
+                f"the stored burn ledger is invalid: {error}"
+            )
         tallies = {
             SlotKey(name, slot_ms, index): _decode_tally(numbers)
             for name, by_length in model.classes.items()
             for slot_ms, slots in by_length.items()
             for index, numbers in slots.items()
         }
-        writers = {name: WriterMark(*item) for name, item in model.writers.items()}
+        writers = {name: WriterState(*item) for name, item in model.writers.items()}
         return BurnLedger(
             BurnCounts(tallies), writers, model.n_writes, model.n_writes_forgotten
         )
--- a/chestnuthall/adapters/documents/_environment.py
+++ b/chestnuthall/adapters/documents/_environment.py
@@ -171,5 +171,5 @@
     """Validate a document and return it as a core data class, or as a failure."""
     checked = check_environment(text, file_name)
     if isinstance(checked, tuple):
-        return CONFIGURATION_REJECTED.because(describe_problems(checked))
+        return CONFIGURATION_REJECTED.with_reason(describe_problems(checked))
     return checked
--- a/chestnuthall/adapters/documents/_ledger.py
+++ b/chestnuthall/adapters/documents/_ledger.py
@@ -34,7 +34,7 @@
         try:
             model = _PartitionModel.model_validate_json(text)
         except ValidationError as error:
-            return INTERNAL_ERROR.because(
+            return INTERNAL_ERROR.with_reason(
                 f"a stored ledger partition is invalid: {error}"
             )
         entries = {key: ClaimEntry(*item) for key, item in model.entries.items()}
--- a/chestnuthall/adapters/documents/tests/test_environment.py
+++ b/chestnuthall/adapters/documents/tests/test_environment.py
@@ -118,7 +118,7 @@
 def test_valid_document_is_accepted():
     """The default objective must not exceed the deadline of its class."""
     document = check_environment(VALID_DOCUMENT)
-    assert document.class_named("clerk").objective.latency_ms == 900.0
+    assert document.find_class("clerk").objective.latency_ms == 900.0
 
 
 @pytest.mark.parametrize(
--- a/chestnuthall/adapters/feeds/_client.py
+++ b/chestnuthall/adapters/feeds/_client.py
@@ -63,7 +63,9 @@
         if isinstance(response, Failure):
             return response
         if response.status == 410:
-            return HISTORY_TRIMMED.because("the peer no longer keeps changes that old")
+            return HISTORY_TRIMMED.with_reason(
+                "the peer no longer keeps changes that old"
+            )
         return _decode_response(kind, response)
 
     async def snapshot(
@@ -82,18 +84,18 @@
         deadline_s = asyncio.get_running_loop().time() + timeout_ms / 1000.0
         connection = await pool.acquire(timeout_ms)
         if isinstance(connection, Failure):
-            return STORE_UNAVAILABLE.because(connection.reason)
+            return STORE_UNAVAILABLE.with_reason(connection.reason)
         try:
             async with asyncio.timeout_at(deadline_s):
                 response = await connection.request(HttpRequest("GET", target))
         except TimeoutError:
             # The late response would be read as the response to the next request.
             connection.close()
-            return STORE_UNAVAILABLE.because("the peer did not answer in time")
+            return STORE_UNAVAILABLE.with_reason("the peer did not answer in time")
         finally:
             pool.release(connection)
         if isinstance(response, Failure):
-            return STORE_UNAVAILABLE.because(response.reason)
+            return STORE_UNAVAILABLE.with_reason(response.reason)
         return response
 
 
@@ -103,9 +105,9 @@
 
 def _decode_response(kind: str, response: HttpResponse) -> FeedAnswer | Failure:
     if response.status == 503:
-        return NOT_READY.because("the peer has no current data from the store")
+        return NOT_READY.with_reason("the peer has no current data from the store")
     if response.status != 200:
-        return STORE_UNAVAILABLE.because(
+        return STORE_UNAVAILABLE.with_reason(
             f"the peer answered with status {response.status}"
         )
     batch = decode_batch(kind, response.body)
--- a/chestnuthall/adapters/feeds/tests/test_contract.py
+++ b/chestnuthall/adapters/feeds/tests/test_contract.py
@@ -53,8 +53,8 @@
     ("changes", CHANGES, CHANGES),
     ("nothing", NOTHING, NOTHING),
     ("never confirmed", NEVER_CONFIRMED, FeedAnswer(WatchBatch(9, ()), 1e9)),
-    ("history trimmed", HISTORY_TRIMMED.because("x"), HISTORY_TRIMMED),
-    ("store unavailable", STORE_UNAVAILABLE.because("x"), NOT_READY),
+    ("history trimmed", HISTORY_TRIMMED.with_reason("x"), HISTORY_TRIMMED),
+    ("store unavailable", STORE_UNAVAILABLE.with_reason("x"), NOT_READY),
     ("no feed", None, NOT_READY),
 ]
 
--- a/chestnuthall/adapters/http/_client.py
+++ b/chestnuthall/adapters/http/_client.py
@@ -84,7 +84,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """Fail the pending request; called by the event loop."""
         self.is_open = False
-        self._complete_request(CONNECTION_LOST.because("the connection was closed"))
+        self._complete_request(CONNECTION_LOST.with_reason("the connection was closed"))
 
     def eof_received(self) -> bool:
         """Complete a response delimited by EOF; called by the event loop."""
@@ -106,7 +106,7 @@
         except ResponseError as error:
             self.close()
             self._complete_request(
-                CONNECTION_LOST.because(f"invalid response: {error}")
+                CONNECTION_LOST.with_reason(f"invalid response: {error}")
             )
             return
         if response is not None:
@@ -216,9 +216,9 @@
         if probes is not None:
             probes.apply(transport.get_extra_info("socket"))
     except TimeoutError:
-        return NO_REPLICA.because(f"connecting to {address} timed out")
+        return NO_REPLICA.with_reason(f"connecting to {address} timed out")
     except ConnectionRefusedError:
-        return CONNECTION_REFUSED.because(f"{address} refused the connection")
+        return CONNECTION_REFUSED.with_reason(f"{address} refused the connection")
     except OSError as error:
-        return NO_REPLICA.because(f"cannot connect to {address}: {error.strerror}")
+        return NO_REPLICA.with_reason(f"cannot connect to {address}: {error.strerror}")
     return connection
--- a/chestnuthall/adapters/http/_pool.py
+++ b/chestnuthall/adapters/http/_pool.py
@@ -91,7 +91,7 @@
             async with asyncio.timeout(max(0.0, timeout_ms) / 1000.0):
                 connection = await waiter
         except TimeoutError:
-            return NO_REPLICA.because(
+            return NO_REPLICA.with_reason(
                 f"no connection to {self.address} became free in time"
             )
         except asyncio.CancelledError:
--- a/chestnuthall/adapters/objectapi/_dialect.py
+++ b/chestnuthall/adapters/objectapi/_dialect.py
@@ -161,7 +161,7 @@
         try:
             listed = _ListModel.model_validate_json(response.body)
         except ValidationError:
-            return STORE_UNAVAILABLE.because("the store sent an invalid list")
+            return STORE_UNAVAILABLE.with_reason("the store sent an invalid list")
         return ListPage(tuple(item.to_port() for item in listed.objects))
 
     def read_written(self, kind: str, response: HttpResponse) -> StoredObject | Failure:
@@ -175,7 +175,9 @@
         try:
             batch = _WatchModel.model_validate_json(response.body)
         except ValidationError:
-            return STORE_UNAVAILABLE.because("the store sent an invalid watch batch")
+            return STORE_UNAVAILABLE.with_reason(
+                "the store sent an invalid watch batch"
+            )
         changed = tuple(item.to_port() for item in batch.changed)
         return WatchBatch(batch.version, changed, batch.deleted_names)
 
@@ -206,9 +208,9 @@
         try:
             return _ObjectModel.model_validate_json(response.body).to_port()
         except ValidationError:
-            return STORE_WRITE_UNKNOWN.because("the store sent an invalid object")
+            return STORE_WRITE_UNKNOWN.with_reason("the store sent an invalid object")
     failure_kind = _FAILURE_KINDS_BY_STATUS.get(response.status, STORE_WRITE_UNKNOWN)
-    return failure_kind.because(_failure_reason(response))
+    return failure_kind.with_reason(_failure_reason(response))
 
 
 def _decode_object(response: HttpResponse) -> StoredObject | Failure:
@@ -217,13 +219,13 @@
     try:
         return _ObjectModel.model_validate_json(response.body).to_port()
     except ValidationError:
-        return STORE_UNAVAILABLE.because("the store sent an invalid object")
+        return STORE_UNAVAILABLE.with_reason("the store sent an invalid object")
 
 
 def failure_of_status(response: HttpResponse) -> Failure:
     """Return the failure of a read that was answered with an error status."""
     failure_kind = _FAILURE_KINDS_BY_STATUS.get(response.status, STORE_UNAVAILABLE)
-    return failure_kind.because(_failure_reason(response))
+    return failure_kind.with_reason(_failure_reason(response))
 
 
 def _failure_reason(response: HttpResponse) -> str:
--- a/chestnuthall/adapters/upstreams/_caller.py
+++ b/chestnuthall/adapters/upstreams/_caller.py
@@ -26,7 +26,7 @@
     DEADLINE_PASSED,
     Failure,
 )
-from chestnuthall.ports import CallListener, CancelCall, Clock
+from chestnuthall.ports import CallCallback, CancelCall, Clock
 
 # Connections to a replica if its connection limit is too small for two connections
 # from each instance.
@@ -87,17 +87,18 @@
         self,
         group: str,
         n_connections: int,
-        kept_ratio: float = 1.0,
-        n_near: int | None = None,
+        connected_ratio: float = 1.0,
+        n_connections_in_zone: int | None = None,
     ) -> None:
         """Set how many connections may be open to each replica of a group.
 
         ``group`` may also be the id of a shard. If there is less than one connection
-        for each instance, ``kept_ratio`` is the fraction of the replicas to which an
-        idle connection stays open. ``n_near`` is the number of connections to each
-        replica in the instance's own zone, if that has a separate budget.
+        for each instance, ``connected_ratio`` is the fraction of the replicas to which
+        an idle connection stays open. ``n_connections_in_zone`` is the number of
+        connections to each replica in the instance's own zone, if that has a separate
+        budget.
         """
-        budget = _Budget(n_connections, kept_ratio, n_near)
+        budget = _Budget(n_connections, connected_ratio, n_connections_in_zone)
         is_known = self._budgets.get(group) == budget
         if is_known and self._pool_settings.idle_close_ms is not None:
             # Connections that were closed because they were idle are not reopened.
@@ -199,12 +200,12 @@
         if remaining_ms <= 0.0:
             # The process may have stalled while it waited for the connection.
             pool.release(connection)
-            return DEADLINE_PASSED.because(
+            return DEADLINE_PASSED.with_reason(
                 "the deadline passed before the call was sent"
             )
         return await self._send_call(call, pool, connection, remaining_ms)
 
-    def begin(self, call: ShardCall, on_result: CallListener) -> CancelCall | None:
+    def start_call(self, call: ShardCall, on_result: CallCallback) -> CancelCall | None:
         """Start a call if a connection is idle; return a function that cancels it.
 
         Returns None if the call would have to wait for a connection or its deadline
@@ -237,7 +238,7 @@
         return cancel
 
     async def _report_loss(
-        self, pool: ConnectionPool, failure: Failure, on_result: CallListener
+        self, pool: ConnectionPool, failure: Failure, on_result: CallCallback
     ) -> None:
         on_result(await self._classify_loss(pool, failure))
 
@@ -323,7 +324,7 @@
         if pool.has_open_idle:
             await self._clock.sleep_ms(CRASH_CLOSE_TIME_MS)
         if pool.has_open_idle or await pool.try_open(CRASH_CHECK_TIMEOUT_MS):
-            return ANSWER_CUT.because(failure.reason)
+            return ANSWER_CUT.with_reason(failure.reason)
         return failure
 
     async def exchange(
@@ -349,7 +350,7 @@
             async with asyncio.timeout(timeout_ms / 1000.0):
                 return await connection.request(request)
         except TimeoutError:
-            return CALL_TIMED_OUT.because("the replica did not answer in time")
+            return CALL_TIMED_OUT.with_reason("the replica did not answer in time")
         finally:
             pool.release(connection)
 
@@ -373,5 +374,5 @@
 def _set_timed_out(response: "asyncio.Future[HttpResponse | Failure]") -> None:
     if not response.done():
         response.set_result(
-            CALL_TIMED_OUT.because("the deadline passed during the call")
+            CALL_TIMED_OUT.with_reason("the deadline passed during the call")
         )
--- a/chestnuthall/cli/tests/test_burn_flush.py
+++ b/chestnuthall/cli/tests/test_burn_flush.py
@@ -49,8 +49,8 @@
         target.record(
             Refusal(
                 request_id="r",
-                failure=QUEUE_FULL.because("test"),
-                run=QUEUE_FULL.run,
+                failure=QUEUE_FULL.with_reason("test"),
+                run_state=QUEUE_FULL.run,
                 repeat=QUEUE_FULL.repeat,
                 configuration_revision=1,
                 account=found,
--- a/chestnuthall/cli/tests/test_publication.py
+++ b/chestnuthall/cli/tests/test_publication.py
@@ -20,7 +20,7 @@
 )
 from chestnuthall.core.configuration import PromotionPolicy, PromotionVerdict
 from chestnuthall.core.results import STORE_UNAVAILABLE, STORE_WRITE_UNKNOWN
-from chestnuthall.ports import ListedInstance
+from chestnuthall.ports import InstanceSummary
 from chestnuthall.services import (
     Accepted,
     FleetView,
@@ -86,7 +86,7 @@
 
 def _read_listed(text):
     body = json.loads(text)
-    return ListedInstance(body["name"], "entry", "a", body["address"], "live")
+    return InstanceSummary(body["name"], "entry", "a", body["address"], "live")
 
 
 def test_loser_of_a_race_is_told_who_won_and_what_differs():
@@ -198,7 +198,7 @@
 
         async def time_out(*arguments):
             world.clock.at_ms += 2_000.0
-            return STORE_UNAVAILABLE.because("down")
+            return STORE_UNAVAILABLE.with_reason("down")
 
         write = world.store._write
 
--- a/chestnuthall/core/accounts/_explain.py
+++ b/chestnuthall/core/accounts/_explain.py
@@ -54,7 +54,7 @@
     AdmissionRule.LEAST_NORMALISED_SERVICE: (
         "its class had received the least service for its share"
     ),
-    AdmissionRule.RESERVED_ROOM: "capacity was reserved for its kind of request",
+    AdmissionRule.RESERVED_CAPACITY: "capacity was reserved for its kind of request",
     AdmissionRule.ONLY_CANDIDATE: "no other class had a query waiting",
     AdmissionRule.NOT_ADMITTED: "it was not admitted",
 }
@@ -200,8 +200,8 @@
     first: Account,
     document: EnvironmentDocument,
 ) -> Verdict:
-    if rule is AdmissionRule.RESERVED_ROOM:
-        group = document.group_named(first.group)
+    if rule is AdmissionRule.RESERVED_CAPACITY:
+        group = document.find_group(first.group)
         reserved = dict(group.reserved_ratios) if group is not None else {}
         has_reservation = reserved.get(first.kind, 0.0) > 0.0
         return Verdict.RIGHT if has_reservation else Verdict.WRONG
@@ -213,7 +213,7 @@
 def _verdict_sentence(
     verdict: Verdict, expected: ExpectedOrder, first: Account, rule: AdmissionRule
 ) -> str:
-    if rule is AdmissionRule.RESERVED_ROOM:
+    if rule is AdmissionRule.RESERVED_CAPACITY:
         verb = "is" if verdict is Verdict.RIGHT else "is not"
         return f"Capacity of group {first.group} {verb} reserved for {first.kind}."
     verdict_texts = {
--- a/chestnuthall/core/admission/_room.py
+++ b/chestnuthall/core/admission/_capacity.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True)
-class Room:
+class Capacity:
     """Capacity for concurrent shard calls; costs are in shard calls.
 
     The running cost may exceed the limit for a moment as long as its average does
@@ -60,7 +60,7 @@
         """Average recent running cost as a fraction of the limit."""
         return self.mean_running_cost / self.limit_cost if self.limit_cost else 1.0
 
-    def has_room(self, cost: float) -> bool:
+    def has_capacity(self, cost: float) -> bool:
         """Return whether a query may start now.
 
         Half of its cost has to fit, so that the running cost is centred on the
@@ -69,7 +69,7 @@
         """
         return self._credit_shortfall_ms(cost) <= 0.0
 
-    def has_urgent_room(self, cost: float) -> bool:
+    def has_urgent_capacity(self, cost: float) -> bool:
         """Return whether the most urgent class may start a query on credit."""
         is_in_debt = self.credit_cost_ms < -URGENT_DEBT_MAX_MS * self.limit_cost
         running_max = URGENT_RUNNING_FACTOR * self.limit_cost
--- a/chestnuthall/core/admission/_fleet.py
+++ b/chestnuthall/core/admission/_fleet.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class UseNews:
+class UsageReport:
     """Usage of a group by a class on one instance, in shard calls.
 
     ``served_cost`` counts from the start of the incarnation, which is a wall
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _ReceivedReport:
-    report: UseNews
+    report: UsageReport
     received_ms: float
 
 
@@ -47,24 +47,24 @@
     created_wall_ms: float
 
 
-class UseLedger:
+class UsageLedger:
     """The latest usage report of every other instance, per group and class.
 
     Examples
     --------
-    >>> ledger = UseLedger()
-    >>> report = UseNews("a", 1, 1, "desk", "clerk", 40.0, 10.0)
-    >>> ledger.take(report, 0.0)
+    >>> ledger = UsageLedger()
+    >>> report = UsageReport("a", 1, 1, "desk", "clerk", 40.0, 10.0)
+    >>> ledger.record(report, 0.0)
     0.0
-    >>> later = UseNews("a", 1, 2, "desk", "clerk", 70.0, 10.0)
-    >>> ledger.take(later, 0.0), ledger.take(later, 0.0), ledger.take(report, 0.0)
+    >>> later = UsageReport("a", 1, 2, "desk", "clerk", 70.0, 10.0)
+    >>> ledger.record(later, 0.0), ledger.record(later, 0.0), ledger.record(report, 0.0)
     (30.0, 0.0, 0.0)
     """
 
     def __init__(self) -> None:
         self._latest: dict[tuple[str, str, str], _ReceivedReport] = {}
 
-    def take(self, report: UseNews, now_ms: float) -> float:
+    def record(self, report: UsageReport, now_ms: float) -> float:
         """Record a report and return the service that was not counted before.
 
         The first report of an instance only sets the starting point, since its
@@ -90,7 +90,7 @@
             if key[0] in live_names and received.received_ms >= received_before_ms
         }
 
-    def newest(self) -> list[UseNews]:
+    def newest_reports(self) -> list[UsageReport]:
         """Return the stored reports, the most recently received first."""
         ordered = sorted(self._latest.values(), key=lambda item: -item.received_ms)
         return [item.report for item in ordered]
@@ -117,7 +117,7 @@
         return demand
 
 
-def _order(report: UseNews) -> tuple[int, int]:
+def _order(report: UsageReport) -> tuple[int, int]:
     return report.incarnation, report.sequence
 
 
@@ -145,7 +145,7 @@
         return nearest[1]
 
 
-def part_of_demand(
+def demand_fraction(
     history: DemandHistory, others: Iterable[InstanceDemand], n_instances: int
 ) -> float:
     """Return this instance's fraction of the demand of the fleet.
@@ -156,9 +156,9 @@
     --------
     >>> history = DemandHistory()
     >>> history.add(1_000.0, 30.0)
-    >>> part_of_demand(history, [], 4)
+    >>> demand_fraction(history, [], 4)
     0.25
-    >>> round(part_of_demand(history, [InstanceDemand(10.0, 1_000.0)], 2), 3)
+    >>> round(demand_fraction(history, [InstanceDemand(10.0, 1_000.0)], 2), 3)
     0.727
     """
     relative = [
--- a/chestnuthall/core/admission/_queue.py
+++ b/chestnuthall/core/admission/_queue.py
@@ -2,6 +2,7 @@
 
 from functools import singledispatch
 
+from chestnuthall.core.admission._capacity import Capacity
 from chestnuthall.core.admission._choice import (
     choose_class,
     slack_of,
@@ -19,11 +20,10 @@
     Reconfigured,
     Refuse,
     Release,
-    ReleasePart,
+    ReleaseCalls,
+    WakeUpDue,
     Withdraw,
-    Woken,
 )
-from chestnuthall.core.admission._room import Room
 from chestnuthall.core.admission._service_times import ServiceTimes
 from chestnuthall.core.admission._tickets import (
     AdmittedCounts,
@@ -66,7 +66,7 @@
         limit_cost: float,
         reserved_ratios: tuple[tuple[str, float], ...] = (),
     ) -> None:
-        self.room = Room(limit_cost, dict(reserved_ratios))
+        self.capacity = Capacity(limit_cost, dict(reserved_ratios))
         self.quota_ratio = 1.0
         self.class_demand_ratios: dict[str, float] = {}
         self.service_times = ServiceTimes()
@@ -81,18 +81,18 @@
     @property
     def utilisation_ratio(self) -> float:
         """Average recent running cost as a fraction of the limit."""
-        return self.room.utilisation_ratio
+        return self.capacity.utilisation_ratio
 
     def wake_at_ms(self) -> float | None:
-        """Return when ``Woken`` is due, or None if no query is waiting."""
+        """Return when ``WakeUpDue`` is due, or None if no query is waiting."""
         if not self.waiting:
             return None
         head = choose_class(self._backlogged(), self.slack)[0].head()
-        return None if head is None else self.room.wake_at_ms(head.cost)
+        return None if head is None else self.capacity.wake_at_ms(head.cost)
 
     def handle(self, event: AdmissionEvent) -> list[AdmissionAction]:
         """Apply one event and return the resulting admissions and refusals."""
-        elapsed_ms = self.room.advance(event.now_ms)
+        elapsed_ms = self.capacity.advance(event.now_ms)
         if elapsed_ms > 0.0:
             for queue in self.queues.values():
                 queue.decay_predicted(elapsed_ms)
@@ -155,9 +155,11 @@
         if ticket is None:
             return None
         is_urgent = rule is AdmissionRule.URGENCY_WITHIN_SHARE and self._is_top(queue)
-        has_room = self.room.has_room(ticket.cost)
-        if has_room or (is_urgent and self.room.has_urgent_room(ticket.cost)):
-            return self._take_out(queue, ticket, rule, now_ms)
+        has_capacity = self.capacity.has_capacity(ticket.cost)
+        if has_capacity or (
+            is_urgent and self.capacity.has_urgent_capacity(ticket.cost)
+        ):
+            return self._admit_or_refuse(queue, ticket, rule, now_ms)
         return None
 
     def _is_top(self, queue: ClassQueue) -> bool:
@@ -166,27 +168,31 @@
         return queue.caller_class.urgency >= max(urgencies)
 
     def _admit_reserved(self, now_ms: float) -> AdmissionAction | None:
-        for kind in self.room.reserved_ratios:
+        for kind in self.capacity.reserved_ratios:
             backlogged = self._backlogged(kind)
             if not backlogged:
                 continue
             queue, _ = choose_class(backlogged, self.slack, kind)
             ticket = queue.head(kind)
-            if ticket is None or not self.room.has_reserved_capacity(kind, ticket.cost):
+            if ticket is None or not self.capacity.has_reserved_capacity(
+                kind, ticket.cost
+            ):
                 continue
-            return self._take_out(queue, ticket, AdmissionRule.RESERVED_ROOM, now_ms)
+            return self._admit_or_refuse(
+                queue, ticket, AdmissionRule.RESERVED_CAPACITY, now_ms
+            )
         return None
 
-    def _take_out(
+    def _admit_or_refuse(
         self, queue: ClassQueue, ticket: Ticket, rule: AdmissionRule, now_ms: float
     ) -> AdmissionAction:
         standings = self.standings()
         if self._is_immediate(ticket, now_ms):
-            if rule is not AdmissionRule.RESERVED_ROOM:
+            if rule is not AdmissionRule.RESERVED_CAPACITY:
                 rule = AdmissionRule.IMMEDIATE
         elif self._is_too_late(ticket, now_ms):
             self.drop(ticket)
-            failure = DEADLINE_UNREACHABLE.because(
+            failure = DEADLINE_UNREACHABLE.with_reason(
                 "the remaining time is too short to run"
             )
             return self.refuse(ticket, failure, now_ms)
@@ -213,17 +219,19 @@
         self.drop(ticket)
         queue.observe_admission(ticket.cost, now_ms)
         self.running[ticket.name] = ticket
-        self.room.acquire(ticket.kind, ticket.cost)
+        self.capacity.acquire(ticket.kind, ticket.cost)
         name = ticket.class_name
         demand_ratio = self.class_demand_ratios.get(name, self.quota_ratio)
-        queue.charge(ticket.cost, demand_ratio)
+        queue.charge_service(ticket.cost, demand_ratio)
         self.served_cost[name] = self.served_cost.get(name, 0.0) + ticket.cost
         self.admitted[name, rule] = self.admitted.get((name, rule), 0) + 1
 
     @property
     def slack(self) -> float:
         """Lead in normalised service up to which a class is within its share."""
-        return slack_of(self.queues.values(), self.room.limit_cost / self.quota_ratio)
+        return slack_of(
+            self.queues.values(), self.capacity.limit_cost / self.quota_ratio
+        )
 
     def standings(self) -> tuple[ClassStanding, ...]:
         """Return the current standing of every class."""
@@ -241,7 +249,7 @@
         """Release capacity of a running query, at most what it still occupies."""
         released = min(cost, ticket.cost)
         ticket.cost -= released
-        self.room.release(ticket.kind, released)
+        self.capacity.release(ticket.kind, released)
 
     def expected_wait_ms(self, ticket: Ticket) -> float:
         """Return how long a new query is expected to wait."""
@@ -256,7 +264,7 @@
         shares[ticket.class_name] = queue.caller_class.share
         return self.service_times.wait_ms(
             ahead_cost=ahead_cost,
-            limit_cost=self.room.limit_cost,
+            limit_cost=self.capacity.limit_cost,
             share_ratio=queue.caller_class.share / sum(shares.values()),
         )
 
@@ -296,10 +304,10 @@
 def _refusal_at_arrival(queue: AdmissionQueue, ticket: Ticket) -> Failure | None:
     class_queue = queue.queues.get(ticket.class_name)
     if class_queue is None or class_queue.is_retired:
-        return UNKNOWN_CLASS.because(f"no class named {ticket.class_name!r}")
+        return UNKNOWN_CLASS.with_reason(f"no class named {ticket.class_name!r}")
     n_queued_max = class_queue.caller_class.n_queued_max
     if class_queue.n_waiting >= n_queued_max:
-        return QUEUE_FULL.because(f"the class has {n_queued_max} queries queued")
+        return QUEUE_FULL.with_reason(f"the class has {n_queued_max} queries queued")
     wait_ms = queue.expected_wait_ms(ticket)
     if wait_ms <= 0.0:
         return None
@@ -307,7 +315,7 @@
     remaining_ms = ticket.deadline_ms - ticket.arrived_ms
     if needed_ms <= remaining_ms:
         return None
-    return DEADLINE_UNREACHABLE.because(
+    return DEADLINE_UNREACHABLE.with_reason(
         f"expected to take {needed_ms:.0f} ms with {remaining_ms:.0f} ms remaining"
     )
 
@@ -340,7 +348,7 @@
 
 
 @_apply.register
-def _(event: ReleasePart, queue: AdmissionQueue) -> list[AdmissionAction]:
+def _(event: ReleaseCalls, queue: AdmissionQueue) -> list[AdmissionAction]:
     ticket = queue.running.get(event.ticket)
     if ticket is None:
         return []
@@ -364,13 +372,13 @@
     actions: list[AdmissionAction] = []
     for ticket in due:
         queue.drop(ticket)
-        failure = DEADLINE_PASSED.because("the deadline passed while queued")
+        failure = DEADLINE_PASSED.with_reason("the deadline passed while queued")
         actions.append(queue.refuse(ticket, failure, event.now_ms))
     return actions + queue.admit_next(event.now_ms)
 
 
 @_apply.register
-def _(event: Woken, queue: AdmissionQueue) -> list[AdmissionAction]:
+def _(event: WakeUpDue, queue: AdmissionQueue) -> list[AdmissionAction]:
     return queue.admit_next(event.now_ms)
 
 
@@ -388,7 +396,7 @@
     if class_queue is not None and queue.service_times.call_ms is not None:
         shares = sum(item.caller_class.share for item in queue.queues.values())
         fleet_per_ms = (
-            queue.room.limit_cost / queue.quota_ratio / queue.service_times.call_ms
+            queue.capacity.limit_cost / queue.quota_ratio / queue.service_times.call_ms
         )
         entitled_per_ms = fleet_per_ms * class_queue.caller_class.share / shares
         class_queue.has_low_demand = (
@@ -399,7 +407,7 @@
 
 @_apply.register
 def _(event: LimitChanged, queue: AdmissionQueue) -> list[AdmissionAction]:
-    queue.room.limit_cost = event.limit_cost
+    queue.capacity.limit_cost = event.limit_cost
     queue.quota_ratio = event.quota_ratio
     queue.class_demand_ratios = dict(event.class_demand_ratios)
     return queue.admit_next(event.now_ms)
@@ -407,7 +415,7 @@
 
 @_apply.register
 def _(event: Reconfigured, queue: AdmissionQueue) -> list[AdmissionAction]:
-    queue.room.reserved_ratios = dict(event.reserved_ratios)
+    queue.capacity.reserved_ratios = dict(event.reserved_ratios)
     previous = queue.queues
     queue.queues = {}
     for caller_class in event.classes:
--- a/chestnuthall/core/admission/_tickets.py
+++ b/chestnuthall/core/admission/_tickets.py
@@ -80,7 +80,7 @@
             heapify(heap)
         self.n_waiting -= 1
 
-    def charge(self, cost: float, demand_ratio: float) -> None:
+    def charge_service(self, cost: float, demand_ratio: float) -> None:
         """Count own service and the service predicted of the other instances.
 
         Reports of other instances are one to two seconds old. If their service were
@@ -89,21 +89,21 @@
         """
         predicted_cost = cost * (1.0 / max(DEMAND_RATIO_MIN, demand_ratio) - 1.0)
         self.predicted_cost += predicted_cost
-        self._add(cost + predicted_cost)
+        self._add_service(cost + predicted_cost)
 
     def reconcile(self, reported_cost: float) -> None:
         """Replace predicted service of other instances by reported service."""
         confirmed_cost = min(reported_cost, self.predicted_cost)
         self.predicted_cost -= confirmed_cost
-        self._add(reported_cost - confirmed_cost)
+        self._add_service(reported_cost - confirmed_cost)
 
     def decay_predicted(self, elapsed_ms: float) -> None:
         """Reduce the predicted service that no report has confirmed."""
         lapsed_cost = self.predicted_cost * (1.0 - exp(-elapsed_ms / REPORT_DELAY_MS))
         self.predicted_cost -= lapsed_cost
-        self._add(-lapsed_cost)
+        self._add_service(-lapsed_cost)
 
-    def _add(self, cost: float) -> None:
+    def _add_service(self, cost: float) -> None:
         self.normalised_service += cost / self.caller_class.share
 
     def observe_admission(self, cost: float, now_ms: float) -> None:
--- a/chestnuthall/core/admission/tests/test_capacity.py
+++ b/chestnuthall/core/admission/tests/test_capacity.py
@@ -11,12 +11,12 @@
     AdaptiveLimit,
     DemandHistory,
     InstanceDemand,
-    UseLedger,
-    UseNews,
-    part_of_demand,
+    UsageLedger,
+    UsageReport,
+    demand_fraction,
 )
+from chestnuthall.core.admission._capacity import Capacity
 from chestnuthall.core.admission._limit import RATIO_MAX, RATIO_MIN
-from chestnuthall.core.admission._room import Room
 from chestnuthall.core.admission._tickets import ClassQueue
 from chestnuthall.core.model import CallerClass
 
@@ -24,27 +24,27 @@
 @pytest.mark.parametrize("limit_cost", [1.5, 4.0, 10.0, 13.3, 90.0])
 def test_running_cost_averages_the_limit(limit_cost):
     """Fails if a limit below the cost of a query is rounded up or left unused."""
-    room = Room(limit_cost)
+    capacity = Capacity(limit_cost)
     ends, used_cost_ms, n_ms = [], 0.0, 20_000
     for now_ms in range(n_ms):
-        room.advance(float(now_ms))
+        capacity.advance(float(now_ms))
         for _ in [at_ms for at_ms in ends if at_ms <= now_ms]:
-            room.release("search", 10.0)
+            capacity.release("search", 10.0)
         ends = [at_ms for at_ms in ends if at_ms > now_ms]
-        while room.has_room(10.0):
-            room.acquire("search", 10.0)
+        while capacity.has_capacity(10.0):
+            capacity.acquire("search", 10.0)
             ends.append(now_ms + 30)
-        used_cost_ms += room.running_cost
+        used_cost_ms += capacity.running_cost
     assert used_cost_ms / n_ms == pytest.approx(limit_cost, rel=0.05)
 
 
 def test_burst_after_idle_time_is_bounded():
     """Fails if an idle instance could start more than its accumulated credit."""
-    room = Room(10.0)
-    room.advance(60_000.0)
+    capacity = Capacity(10.0)
+    capacity.advance(60_000.0)
     n_started = 0
-    while room.has_room(10.0):
-        room.acquire("search", 10.0)
+    while capacity.has_capacity(10.0):
+        capacity.acquire("search", 10.0)
         n_started += 1
     assert n_started == 5
 
@@ -107,7 +107,7 @@
 
 
 def report(incarnation, sequence, served_cost, instance="a"):
-    return UseNews(instance, incarnation, sequence, "g", "c", served_cost, 5.0)
+    return UsageReport(instance, incarnation, sequence, "g", "c", served_cost, 5.0)
 
 
 USAGE_REPORTS = {
@@ -144,8 +144,8 @@
 )
 def test_usage_report_is_counted_once(reports, added):
     """Fails if a late, duplicated or reordered report is counted twice."""
-    ledger = UseLedger()
-    assert [ledger.take(item, 0.0) for item in reports] == added
+    ledger = UsageLedger()
+    assert [ledger.record(item, 0.0) for item in reports] == added
 
 
 DEMANDS = {
@@ -166,7 +166,7 @@
     history = DemandHistory()
     history.add(1_000.0, own)
     demands = [InstanceDemand(cost, 1_000.0) for cost in others]
-    result = part_of_demand(history, demands, n_instances)
+    result = demand_fraction(history, demands, n_instances)
     assert result == pytest.approx(expected, abs=0.001)
 
 
@@ -175,7 +175,7 @@
     history = DemandHistory()
     history.add(1_000.0, 10.0)
     history.add(2_000.0, 60.0)
-    assert part_of_demand(history, [InstanceDemand(10.0, 1_000.0)], 2) == 0.5
+    assert demand_fraction(history, [InstanceDemand(10.0, 1_000.0)], 2) == 0.5
 
 
 def test_service_of_others_is_predicted_until_reported():
@@ -185,7 +185,7 @@
     )
     confirmed, lapsed = ClassQueue(caller_class), ClassQueue(caller_class)
     for queue in (confirmed, lapsed):
-        queue.charge(10.0, demand_ratio=0.25)
+        queue.charge_service(10.0, demand_ratio=0.25)
         assert queue.normalised_service == pytest.approx(40.0)
     confirmed.reconcile(30.0)
     for queue in (confirmed, lapsed):
--- a/chestnuthall/core/admission/tests/test_queue.py
+++ b/chestnuthall/core/admission/tests/test_queue.py
@@ -19,9 +19,9 @@
     Reconfigured,
     Refuse,
     Release,
-    ReleasePart,
+    ReleaseCalls,
+    WakeUpDue,
     Withdraw,
-    Woken,
 )
 from chestnuthall.core.model import AdmissionRule as Rule
 from chestnuthall.core.model import CallerClass, QueriesAhead
@@ -129,7 +129,7 @@
     "urgent_class_with_low_demand_stays_within_its_share": (
         [
             LIMIT_HOLDER,
-            ReleasePart(0.0, "hold", 1.0, 10.0),
+            ReleaseCalls(0.0, "hold", 1.0, 10.0),
             arrive("f", "first"),
             arrive("u", "urgent"),
             FleetUseReported(0.0, "urgent", 1e6),
@@ -143,7 +143,7 @@
             arrive("a", "first", cost=8.0),
             arrive("large", "second", cost=30.0, deadline_ms=8000.0),
             arrive("small", "first", cost=1.0, deadline_ms=9000.0),
-            Woken(5.0),
+            WakeUpDue(5.0),
             end("a", 10.0),
         ],
         ["a immediate", "large deadline_within_share"],
@@ -160,7 +160,7 @@
     "unreachable_deadline_is_refused_at_arrival": (
         [
             LIMIT_HOLDER,
-            ReleasePart(0.0, "hold", 1.0, 100.0),
+            ReleaseCalls(0.0, "hold", 1.0, 100.0),
             arrive("a", "first", cost=30.0, deadline_ms=500.0),
             arrive("b", "first", cost=30.0, deadline_ms=250.0),
             arrive("c", "first", cost=30.0, deadline_ms=550.0),
@@ -256,7 +256,7 @@
     """Fails if an account lists queries that were admitted before the arrival."""
     queue = AdmissionQueue(CLASSES, 10.0)
     events = [LIMIT_HOLDER, arrive("a", "first"), arrive("b", "first")]
-    events += [end("hold"), arrive("late", "first"), end("a"), Woken(900.0)]
+    events += [end("hold"), arrive("late", "first"), end("a"), WakeUpDue(900.0)]
     events += [end("b", 900.0)]
     accounts = {}
     for event in events:
@@ -286,7 +286,7 @@
     if action == "limit":
         return LimitChanged(now_ms, 5.0 + value)
     if action != "arrive":
-        return Woken(now_ms)
+        return WakeUpDue(now_ms)
     kind = "lookup" if cost == 1.0 else "search"
     deadline_ms = now_ms + 200.0 + value
     return arrive(f"t{number}", caller_class.name, cost, deadline_ms, kind, now_ms)
@@ -318,7 +318,7 @@
         Rule.DEADLINE_WITHIN_SHARE: own.is_within_share
         and top == own.urgency
         and own_head <= min(heads, default=0.0),
-        Rule.RESERVED_ROOM: arrival.kind == "lookup",
+        Rule.RESERVED_CAPACITY: arrival.kind == "lookup",
     }
     return checks[account.rule]
 
@@ -359,4 +359,4 @@
     assert set(queue.waiting) == set(waiting)
     assert set(queue.running) == set(running)
     running_cost = sum(ticket.cost for ticket in queue.running.values())
-    assert queue.room.running_cost == pytest.approx(running_cost)
+    assert queue.capacity.running_cost == pytest.approx(running_cost)
--- a/chestnuthall/core/burn/_ledger.py
+++ b/chestnuthall/core/burn/_ledger.py
@@ -29,12 +29,12 @@
     return max(FLUSH_INTERVAL_MIN_MS, interval_ms)
 
 
-def part_of(instance_number: int, n_instances: int) -> int:
+def ledger_partition(instance_number: int, n_instances: int) -> int:
     """Return the index of the partition that an instance writes to.
 
     Examples
     --------
-    >>> part_of(77, 9), part_of(77, 1900)
+    >>> ledger_partition(77, 9), ledger_partition(77, 1900)
     (0, 17)
     """
     n_partitions = -(-max(1, n_instances) // N_INSTANCES_PER_PARTITION)
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WriterMark:
+class WriterState:
     """Sequence number of a writer's last delta, and the write that added it."""
 
     sequence: int
@@ -58,7 +58,7 @@
     """
 
     counts: BurnCounts = field(default_factory=BurnCounts)
-    writers: dict[str, WriterMark] = field(default_factory=dict)
+    writers: dict[str, WriterState] = field(default_factory=dict)
     n_writes: int = 0
     n_writes_forgotten: int = 0
 
@@ -81,8 +81,8 @@
     """What to do with a delta."""
 
     ADD = "add"
-    COUNTED_ALREADY = "counted_already"
-    CANNOT_TELL = "cannot_tell"
+    ALREADY_COUNTED = "counted_already"
+    UNDETERMINED = "cannot_tell"
 
 
 def decide_delta(ledger: BurnLedger, delta: BurnDelta) -> DeltaDecision:
@@ -92,20 +92,20 @@
     the attempt took effect. The delta is then discarded, because counting too
     little is better than counting twice.
     """
-    mark = ledger.writers.get(delta.writer)
-    if mark is not None and mark.sequence >= delta.sequence:
-        return DeltaDecision.COUNTED_ALREADY
+    writer = ledger.writers.get(delta.writer)
+    if writer is not None and writer.sequence >= delta.sequence:
+        return DeltaDecision.ALREADY_COUNTED
     was_attempted = delta.first_attempt_n_writes > 0
     if (
-        mark is None
+        writer is None
         and was_attempted
         and delta.first_attempt_n_writes <= ledger.n_writes_forgotten
     ):
-        return DeltaDecision.CANNOT_TELL
+        return DeltaDecision.UNDETERMINED
     return DeltaDecision.ADD
 
 
-def note_attempt(ledger: BurnLedger, delta: BurnDelta) -> BurnDelta:
+def mark_attempted(ledger: BurnLedger, delta: BurnDelta) -> BurnDelta:
     """Return the delta with its first attempt recorded."""
     if delta.first_attempt_n_writes:
         return delta
@@ -115,7 +115,7 @@
 def add_delta(ledger: BurnLedger, delta: BurnDelta) -> BurnLedger:
     """Return the ledger with a delta that ``decide_delta`` says to add."""
     n_writes = ledger.n_writes + 1
-    writers = {**ledger.writers, delta.writer: WriterMark(delta.sequence, n_writes)}
+    writers = {**ledger.writers, delta.writer: WriterState(delta.sequence, n_writes)}
     n_forgotten = ledger.n_writes_forgotten
     while len(writers) > N_WRITERS_MAX:
         oldest = min(writers, key=lambda name: writers[name].n_writes)
--- a/chestnuthall/core/claims/_events.py
+++ b/chestnuthall/core/claims/_events.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AbandonRequested:
+class ClaimAbandoned:
     """The holder of a claim will never dispatch its request."""
 
     wall_ms: float
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TurnGranted:
+class WriteSlotGranted:
     """The write rate budget allows one write now."""
 
     wall_ms: float
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WriteLost:
+class WriteUnresolved:
     """The answer was lost; the write may have taken effect or may still do so."""
 
     wall_ms: float
@@ -99,13 +99,13 @@
 ClaimEvent: TypeAlias = (
     ClaimRequested
     | ClaimWithdrawn
-    | AbandonRequested
+    | ClaimAbandoned
     | PartitionRead
     | ReadFailed
-    | TurnGranted
+    | WriteSlotGranted
     | WriteSucceeded
     | WriteConflicted
-    | WriteLost
+    | WriteUnresolved
     | WriteFailed
     | DelayEnded
 )
@@ -117,15 +117,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AwaitTurn:
-    """Wait for the write rate budget; answered by ``TurnGranted``."""
+class AwaitWriteSlot:
+    """Wait for the write rate budget; answered by ``WriteSlotGranted``."""
 
 
 @dataclass(frozen=True, slots=True)
 class WritePartition:
     """Write the partition if its version is still ``version``.
 
-    Answered by ``WriteSucceeded``, ``WriteConflicted``, ``WriteLost`` or
+    Answered by ``WriteSucceeded``, ``WriteConflicted``, ``WriteUnresolved`` or
     ``WriteFailed``.
     """
 
@@ -141,11 +141,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Settle:
+class CompleteClaim:
     """Complete a claim: it is held if ``failure`` is None, else refused."""
 
     token: str
     failure: Failure | None
 
 
-ClaimAction: TypeAlias = ReadPartition | AwaitTurn | WritePartition | Delay | Settle
+ClaimAction: TypeAlias = (
+    ReadPartition | AwaitWriteSlot | WritePartition | Delay | CompleteClaim
+)
--- a/chestnuthall/core/claims/_machine.py
+++ b/chestnuthall/core/claims/_machine.py
@@ -10,24 +10,24 @@
 from functools import singledispatch
 
 from chestnuthall.core.claims._events import (
-    AbandonRequested,
-    AwaitTurn,
+    AwaitWriteSlot,
+    ClaimAbandoned,
     ClaimAction,
     ClaimEvent,
     ClaimRequested,
     ClaimWithdrawn,
+    CompleteClaim,
     Delay,
     DelayEnded,
     PartitionRead,
     ReadFailed,
     ReadPartition,
-    Settle,
-    TurnGranted,
     WriteConflicted,
     WriteFailed,
-    WriteLost,
     WritePartition,
+    WriteSlotGranted,
     WriteSucceeded,
+    WriteUnresolved,
 )
 from chestnuthall.core.claims._failures import failure_of_decision
 from chestnuthall.core.claims._ledger import (
@@ -70,12 +70,12 @@
 
     IDLE = "idle"
     READING = "reading"
-    AWAITING_TURN = "awaiting_turn"
+    AWAITING_WRITE_SLOT = "awaiting_turn"
     WRITING = "writing"
     DELAYING = "delaying"
 
 
-class PartitionClaims:
+class PartitionClaimMachine:
     """Claims of one instance in one partition.
 
     ``cached`` is the last known version with its content; it saves the read
@@ -114,7 +114,7 @@
         """Apply one event and return the resulting actions."""
         return _apply(event, self)
 
-    def forget_cache(self) -> None:
+    def drop_cache(self) -> None:
         """Drop the cached partition to free memory, if the machine is idle."""
         if self.phase is Phase.IDLE:
             self.cached = None
@@ -128,8 +128,8 @@
             return self.become_idle()
         if self.cached is None or self.needs_read:
             return self.start_read()
-        self.phase = Phase.AWAITING_TURN
-        return [AwaitTurn()]
+        self.phase = Phase.AWAITING_WRITE_SLOT
+        return [AwaitWriteSlot()]
 
     @property
     def has_work(self) -> bool:
@@ -176,16 +176,16 @@
         while len(self.abandoned) > N_ABANDONED_MAX:
             del self.abandoned[next(iter(self.abandoned))]
 
-    def refuse(self, claim: KeyClaim, failure: Failure) -> Settle:
+    def refuse(self, claim: KeyClaim, failure: Failure) -> CompleteClaim:
         """Refuse a waiting claim, whose request is then never dispatched."""
         self.waiting.pop(claim.token, None)
         if claim.token not in self.unresolved:
-            return Settle(claim.token, failure)
+            return CompleteClaim(claim.token, failure)
         # A lost write may still enter the key in the partition.
         self.add_abandoned(claim)
         if failure.kind.run is RunState.NO:
-            failure = CLAIM_UNSETTLED.because(failure.reason)
-        return Settle(claim.token, failure)
+            failure = CLAIM_UNSETTLED.with_reason(failure.reason)
+        return CompleteClaim(claim.token, failure)
 
     def refuse_all(self, failure: Failure) -> list[ClaimAction]:
         """Refuse all waiting claims and become idle."""
@@ -196,12 +196,12 @@
 
 
 @singledispatch
-def _apply(event: ClaimEvent, claims: PartitionClaims) -> list[ClaimAction]:
+def _apply(event: ClaimEvent, claims: PartitionClaimMachine) -> list[ClaimAction]:
     raise TypeError(f"not an event: {type(event).__name__}")
 
 
 @_apply.register
-def _(event: ClaimRequested, claims: PartitionClaims) -> list[ClaimAction]:
+def _(event: ClaimRequested, claims: PartitionClaimMachine) -> list[ClaimAction]:
     claims.waiting[event.claim.token] = event.claim
     if claims.phase is not Phase.IDLE:
         return []
@@ -211,25 +211,29 @@
 
 
 @_apply.register
-def _(event: AbandonRequested, claims: PartitionClaims) -> list[ClaimAction]:
+def _(event: ClaimAbandoned, claims: PartitionClaimMachine) -> list[ClaimAction]:
     claims.add_abandoned(event.claim)
     return claims.advance() if claims.phase is Phase.IDLE else []
 
 
 @_apply.register
-def _(event: ClaimWithdrawn, claims: PartitionClaims) -> list[ClaimAction]:
+def _(event: ClaimWithdrawn, claims: PartitionClaimMachine) -> list[ClaimAction]:
     token = event.claim.token
     if claims.writing.pop(token, None) is not None:
         claims.add_abandoned(event.claim)
-        return [Settle(token, CLAIM_UNSETTLED.because("its write was under way"))]
+        return [
+            CompleteClaim(token, CLAIM_UNSETTLED.with_reason("its write was under way"))
+        ]
     if token not in claims.waiting:
         return []
-    failure = DEADLINE_PASSED.because("the request ended before its claim was written")
+    failure = DEADLINE_PASSED.with_reason(
+        "the request ended before its claim was written"
+    )
     return [claims.refuse(event.claim, failure)]
 
 
 @_apply.register
-def _(event: PartitionRead, claims: PartitionClaims) -> list[ClaimAction]:
+def _(event: PartitionRead, claims: PartitionClaimMachine) -> list[ClaimAction]:
     if event.version < claims.min_version:
         # The store may serve stale reads.
         claims.cached = None
@@ -245,7 +249,7 @@
     return [*settled, *refused, *claims.advance()]
 
 
-def _record_read(event: PartitionRead, claims: PartitionClaims) -> None:
+def _record_read(event: PartitionRead, claims: PartitionClaimMachine) -> None:
     if claims.cached is not None:
         is_same = claims.cached[0] == event.version
         claims.n_confirming_reads = claims.n_confirming_reads + 1 if is_same else 0
@@ -261,15 +265,17 @@
 
 
 def _settle_held(
-    partition: LedgerPartition, claims: PartitionClaims
+    partition: LedgerPartition, claims: PartitionClaimMachine
 ) -> list[ClaimAction]:
     held = [item for item in claims.waiting.values() if partition.is_held_by(item)]
     for claim in held:
         del claims.waiting[claim.token]
-    return [Settle(claim.token, None) for claim in held]
+    return [CompleteClaim(claim.token, None) for claim in held]
 
 
-def _drop_absent_abandoned(partition: LedgerPartition, claims: PartitionClaims) -> None:
+def _drop_absent_abandoned(
+    partition: LedgerPartition, claims: PartitionClaimMachine
+) -> None:
     claims.abandoned = {
         token: item
         for token, item in claims.abandoned.items()
@@ -278,7 +284,7 @@
 
 
 def _refuse_from_read(
-    event: PartitionRead, claims: PartitionClaims
+    event: PartitionRead, claims: PartitionClaimMachine
 ) -> list[ClaimAction]:
     base = remove_claims(event.partition, claims.abandoned.values())
     group = _next_write_group(claims)
@@ -291,7 +297,7 @@
     return refused
 
 
-def _next_write_group(claims: PartitionClaims) -> tuple[KeyClaim, ...]:
+def _next_write_group(claims: PartitionClaimMachine) -> tuple[KeyClaim, ...]:
     """Return the claims of the next write, at most one per key.
 
     A second claim of the same key waits until the write of the first one is
@@ -304,12 +310,12 @@
 
 
 @_apply.register
-def _(event: ReadFailed, claims: PartitionClaims) -> list[ClaimAction]:
+def _(event: ReadFailed, claims: PartitionClaimMachine) -> list[ClaimAction]:
     return claims.refuse_all(event.failure)
 
 
 @_apply.register
-def _(event: TurnGranted, claims: PartitionClaims) -> list[ClaimAction]:
+def _(event: WriteSlotGranted, claims: PartitionClaimMachine) -> list[ClaimAction]:
     if not claims.has_work:
         return claims.become_idle()
     age_ms = event.wall_ms - claims.read_wall_ms
@@ -320,7 +326,7 @@
     return _write(event.wall_ms, claims)
 
 
-def _write(wall_ms: float, claims: PartitionClaims) -> list[ClaimAction]:
+def _write(wall_ms: float, claims: PartitionClaimMachine) -> list[ClaimAction]:
     """Write all claims that can be accepted, conditional on the cached version."""
     assert claims.cached is not None
     claims.has_turn = False
@@ -343,7 +349,7 @@
 
 
 @_apply.register
-def _(event: WriteSucceeded, claims: PartitionClaims) -> list[ClaimAction]:
+def _(event: WriteSucceeded, claims: PartitionClaimMachine) -> list[ClaimAction]:
     assert claims.written_partition is not None
     claims.cached = (event.version, claims.written_partition)
     claims.min_version = event.version
@@ -353,7 +359,7 @@
     claims.unresolved.clear()
     claims.n_retries = 0
     claims.n_rate_limited_writes = 0
-    settled = [Settle(token, None) for token in claims.writing]
+    settled = [CompleteClaim(token, None) for token in claims.writing]
     claims.writing = {}
     for token in claims.written_abandoned:
         claims.abandoned.pop(token, None)
@@ -362,7 +368,7 @@
 
 
 @_apply.register
-def _(event: WriteConflicted, claims: PartitionClaims) -> list[ClaimAction]:
+def _(event: WriteConflicted, claims: PartitionClaimMachine) -> list[ClaimAction]:
     assert claims.cached is not None
     claims.min_version = claims.cached[0] + 1
     claims.cached = None
@@ -373,7 +379,7 @@
 
 
 @_apply.register
-def _(event: WriteLost, claims: PartitionClaims) -> list[ClaimAction]:
+def _(event: WriteUnresolved, claims: PartitionClaimMachine) -> list[ClaimAction]:
     assert claims.cached is not None
     claims.lost_version = claims.cached[0]
     claims.unresolved.update(claims.writing)
@@ -383,7 +389,7 @@
 
 
 @_apply.register
-def _(event: WriteFailed, claims: PartitionClaims) -> list[ClaimAction]:
+def _(event: WriteFailed, claims: PartitionClaimMachine) -> list[ClaimAction]:
     claims.requeue_written()
     if event.failure.kind is not RATE_LIMITED:
         return claims.refuse_all(event.failure)
@@ -396,5 +402,5 @@
 
 
 @_apply.register
-def _(event: DelayEnded, claims: PartitionClaims) -> list[ClaimAction]:
+def _(event: DelayEnded, claims: PartitionClaimMachine) -> list[ClaimAction]:
     return claims.advance()
--- a/chestnuthall/core/claims/_pacing.py
+++ b/chestnuthall/core/claims/_pacing.py
@@ -1,7 +1,7 @@
 """Rate limiter and circuit breaker for the store calls of claims."""
 
 
-class WriteBudget:
+class WriteRateLimiter:
     """Rate budget for writes, shared by all partitions of an instance.
 
     It allows a burst of ``n_burst`` writes and spaces further writes evenly, by
@@ -9,7 +9,7 @@
 
     Examples
     --------
-    >>> budget = WriteBudget(n_burst=1)
+    >>> budget = WriteRateLimiter(n_burst=1)
     >>> [budget.reserve(0.0, 10.0) for _ in range(3)]
     [0.0, 100.0, 200.0]
     """
@@ -27,7 +27,7 @@
         return max(0.0, write_ms - now_ms)
 
 
-class StoreBreaker:
+class StoreCircuitBreaker:
     """Circuit breaker that fails claims at once while the store is unavailable.
 
     After a failure, calls are blocked for a delay that doubles with each further
@@ -47,7 +47,7 @@
         """Whether the last call failed."""
         return self._delay_ms > 0.0
 
-    def allows(self, now_ms: float) -> bool:
+    def try_acquire(self, now_ms: float) -> bool:
         """Return whether a call may be made.
 
         While the breaker is open, one call per delay is allowed as a probe.
@@ -60,7 +60,7 @@
         self._blocked_until_ms = now_ms + self._delay_ms
         return True
 
-    def note_failure(self, now_ms: float) -> None:
+    def record_failure(self, now_ms: float) -> None:
         """Record a failed call.
 
         Calls that were in progress together count as one failure.
@@ -72,7 +72,7 @@
         self._delay_ms = min(doubled_ms, self._longest_ms)
         self._blocked_until_ms = now_ms + self._delay_ms
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """Record that the store answered, which closes the breaker."""
         self._is_probing = False
         self._delay_ms = 0.0
--- a/chestnuthall/core/claims/tests/test_fuzz.py
+++ b/chestnuthall/core/claims/tests/test_fuzz.py
@@ -43,7 +43,7 @@
     def start(self):
         self.now_ms = 1_000.0
         self.versions = [(0, core.EMPTY_PARTITION)]
-        self.writers = [core.PartitionClaims(LEDGER) for _ in range(3)]
+        self.writers = [core.PartitionClaimMachine(LEDGER) for _ in range(3)]
         self.calls = [None, None, None]
         self.late = []
         self.claims = {}
@@ -60,7 +60,7 @@
 
     def take(self, index, actions):
         for action in actions:
-            if isinstance(action, core.Settle):
+            if isinstance(action, core.CompleteClaim):
                 self.settle(index, action)
             else:
                 assert self.calls[index] is None, "two calls under way"
@@ -103,7 +103,7 @@
         self.holders.remove(holder)
         index, claim = holder
         if is_abandoned:
-            event = core.AbandonRequested(self.clock(index), claim)
+            event = core.ClaimAbandoned(self.clock(index), claim)
             self.take(index, self.writers[index].handle(event))
             return
         assert claim.token not in self.refused_not_run
@@ -123,14 +123,14 @@
             self.answer_read(index, outcome)
         elif isinstance(call, core.WritePartition):
             self.answer_write(index, call, outcome)
-        elif isinstance(call, core.AwaitTurn):
-            self.feed(index, core.TurnGranted(wall_ms))
+        elif isinstance(call, core.AwaitWriteSlot):
+            self.feed(index, core.WriteSlotGranted(wall_ms))
         elif isinstance(call, core.Delay):
             self.feed(index, core.DelayEnded(wall_ms))
 
     def answer_read(self, index, outcome):
         if outcome == "failed":
-            failure = STORE_UNAVAILABLE.because("down")
+            failure = STORE_UNAVAILABLE.with_reason("down")
             self.feed(index, core.ReadFailed(self.clock(index), failure))
             return
         n_behind = {"late": 1, "never": 2}.get(outcome, 0)
@@ -141,7 +141,7 @@
         wall_ms = self.clock(index)
         if outcome in ("failed", "limited"):
             kind = STORE_UNAVAILABLE if outcome == "failed" else RATE_LIMITED
-            self.feed(index, core.WriteFailed(wall_ms, kind.because("")))
+            self.feed(index, core.WriteFailed(wall_ms, kind.with_reason("")))
         elif outcome == "done":
             if self.land(call):
                 event = core.WriteSucceeded(wall_ms, self.versions[-1][0])
@@ -153,7 +153,7 @@
                 self.land(call)
             elif outcome == "late":
                 self.late.append(call)
-            self.feed(index, core.WriteLost(wall_ms))
+            self.feed(index, core.WriteUnresolved(wall_ms))
 
     def land(self, write):
         """Apply a write; return whether its condition held."""
@@ -180,7 +180,7 @@
         if isinstance(self.calls[index], core.WritePartition):
             self.late.append(self.calls[index])
         self.calls[index] = None
-        self.writers[index] = core.PartitionClaims(LEDGER)
+        self.writers[index] = core.PartitionClaimMachine(LEDGER)
         self.waiting[index] = {}
         self.holders = [item for item in self.holders if item[0] != index]
 
--- a/chestnuthall/core/claims/tests/test_machine.py
+++ b/chestnuthall/core/claims/tests/test_machine.py
@@ -13,8 +13,8 @@
 A = core.KeyClaim("key-a", "token-a", 9_900.0)
 A2 = core.KeyClaim("key-a", "token-a2", 9_900.0)
 B = core.KeyClaim("key-b", "token-b", 9_900.0)
-STORE_FAILURE = STORE_UNAVAILABLE.because("unavailable")
-RATE_LIMIT_FAILURE = RATE_LIMITED.because("rate limited")
+STORE_FAILURE = STORE_UNAVAILABLE.with_reason("unavailable")
+RATE_LIMIT_FAILURE = RATE_LIMITED.with_reason("rate limited")
 PARTITION_WITH_A = core.LedgerPartition(
     0.0, {"key-a": core.ClaimEntry("token-a", 9_900.0)}
 )
@@ -28,17 +28,17 @@
     "request-again": core.ClaimRequested(WALL_MS, A2),
     "request-b": core.ClaimRequested(WALL_MS, B),
     "withdraw": core.ClaimWithdrawn(WALL_MS, A),
-    "abandon": core.AbandonRequested(WALL_MS, A),
-    "abandon-other": core.AbandonRequested(WALL_MS, A2),
+    "abandon": core.ClaimAbandoned(WALL_MS, A),
+    "abandon-other": core.ClaimAbandoned(WALL_MS, A2),
     "read-empty": core.PartitionRead(WALL_MS, 0, core.EMPTY_PARTITION),
     "read-a": core.PartitionRead(WALL_MS, 1, PARTITION_WITH_A),
     "read-both": core.PartitionRead(WALL_MS, 1, PARTITION_WITH_OTHERS),
     "read-failed": core.ReadFailed(WALL_MS, STORE_FAILURE),
-    "turn": core.TurnGranted(WALL_MS),
-    "late-turn": core.TurnGranted(WALL_MS + 50.0),
+    "turn": core.WriteSlotGranted(WALL_MS),
+    "late-turn": core.WriteSlotGranted(WALL_MS + 50.0),
     "written": core.WriteSucceeded(WALL_MS, 1),
     "conflict": core.WriteConflicted(WALL_MS, 0.5),
-    "lost": core.WriteLost(WALL_MS),
+    "lost": core.WriteUnresolved(WALL_MS),
     "refused": core.WriteFailed(WALL_MS, STORE_FAILURE),
     "limited": core.WriteFailed(WALL_MS, RATE_LIMIT_FAILURE),
     "delay-ended": core.DelayEnded(WALL_MS),
@@ -50,7 +50,7 @@
     names = []
     for action in actions:
         name = type(action).__name__
-        if name == "Settle":
+        if name == "CompleteClaim":
             name = action.failure.kind.name if action.failure else "HELD"
         elif name == "WritePartition":
             keys = " ".join(sorted(action.partition.entries))
@@ -63,7 +63,7 @@
 CLAIM = f"{WRITE} written"
 CASES = {
     "claim": (CLAIM, ["HELD"]),
-    "cache-saves-read": (f"{CLAIM} request-b", ["AwaitTurn"]),
+    "cache-saves-read": (f"{CLAIM} request-b", ["AwaitWriteSlot"]),
     "no-cache-after-conflict": (f"{WRITE} conflict", ["ReadPartition"]),
     "batched-into-next-write": (f"{WRITE} request-b", []),
     "lost-write-took-effect": (f"{WRITE} lost read-a", ["HELD"]),
@@ -80,7 +80,7 @@
     "same-key-refused": (f"{CLAIM} request-again turn read-a", ["KEY_ALREADY_CLAIMED"]),
     "read-refuses-claims-from-before-it": (
         "request request-b read-both",
-        ["KEY_ALREADY_CLAIMED", "AwaitTurn"],
+        ["KEY_ALREADY_CLAIMED", "AwaitWriteSlot"],
     ),
     "contended-cache-not-trusted": (
         f"{WRITE} conflict read-a request-b",
@@ -112,7 +112,7 @@
 @pytest.mark.parametrize(("event_names", "expected"), CASES.values(), ids=CASES.keys())
 def test_actions_of_last_event(event_names, expected):
     """The last event must result in exactly the store calls that it requires."""
-    claims = core.PartitionClaims(core.LedgerSettings())
+    claims = core.PartitionClaimMachine(core.LedgerSettings())
     for name in event_names.split():
         actions = claims.handle(EVENTS[name])
     assert describe(actions)[: len(expected) or None] == expected
@@ -148,13 +148,13 @@
 
 def test_open_breaker_allows_one_probe_per_delay():
     """While the store is unavailable, one call per delay may be made."""
-    breaker = core.StoreBreaker(first_ms=100.0, longest_ms=400.0)
-    breaker.note_failure(0.0)
+    breaker = core.StoreCircuitBreaker(first_ms=100.0, longest_ms=400.0)
+    breaker.record_failure(0.0)
     allowed = []
     for now_ms in range(0, 2_000, 10):
-        if breaker.allows(float(now_ms)):
+        if breaker.try_acquire(float(now_ms)):
             allowed.append(now_ms)
-            breaker.note_failure(float(now_ms))
-    breaker.note_success()
+            breaker.record_failure(float(now_ms))
+    breaker.record_success()
     assert allowed == [100, 300, 700, 1100, 1500, 1900]
-    assert breaker.allows(1_901.0)
+    assert breaker.try_acquire(1_901.0)
--- a/chestnuthall/core/configuration/_follower.py
+++ b/chestnuthall/core/configuration/_follower.py
@@ -25,12 +25,12 @@
 BURST_DELAY_MS = 700.0
 
 
-def safe_watch_timeout_ms(settle_ms: float) -> float:
+def safe_watch_timeout_ms(recovery_ms: float) -> float:
     """Return the longest watch time-out with which changes come into force in time.
 
     When the store becomes unresponsive, the connection of a watch stays open, and
     the watch returns nothing even after the store has recovered. Changes made after
-    the recovery must be in force once the store has been stable for ``settle_ms``.
+    the recovery must be in force once the store has been stable for ``recovery_ms``.
     A watch that started with the outage ends early enough if the outage lasts at
     least as long as the reads that follow the watch.
 
@@ -39,11 +39,11 @@
     >>> safe_watch_timeout_ms(4_000.0)
     4000.0
     """
-    return max(WATCH_INTERVAL_MIN_MS, settle_ms)
+    return max(WATCH_INTERVAL_MIN_MS, recovery_ms)
 
 
 @dataclass(frozen=True, slots=True)
-class Loaded:
+class ObjectRead:
     """The object was read; version 0 means that it does not exist."""
 
     now_ms: float
@@ -61,22 +61,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WatchTrimmed:
+class WatchHistoryTrimmed:
     """The store no longer has the changes after the requested version."""
 
     now_ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class StoreFailed:
+class StoreCallFailed:
     """A call to the store failed."""
 
     now_ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class PauseEnded:
-    """The delay requested with ``Pause`` is over.
+class DelayEnded:
+    """The delay requested with ``Delay`` is over.
 
     ``confirmed_ms`` is the last time at which the object was known to be up to
     date, as confirmed by the store or by a peer that queried the store.
@@ -87,11 +87,13 @@
     confirmed_ms: float
 
 
-FollowEvent: TypeAlias = Loaded | WatchEnded | WatchTrimmed | StoreFailed | PauseEnded
+FollowerEvent: TypeAlias = (
+    ObjectRead | WatchEnded | WatchHistoryTrimmed | StoreCallFailed | DelayEnded
+)
 
 
 @dataclass(frozen=True, slots=True)
-class Load:
+class ReadObject:
     """Read the object."""
 
 
@@ -103,16 +105,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pause:
-    """Wait before the next step; ends with ``PauseEnded``."""
+class Delay:
+    """Wait before the next step; ends with ``DelayEnded``."""
 
     duration_ms: float
 
 
-FollowAction: TypeAlias = Load | Watch | Pause
+FollowerAction: TypeAlias = ReadObject | Watch | Delay
 
 
-class StoreFollower:
+class ObjectFollower:
     """Decides the next step: one store call or delay at a time.
 
     Consecutive calls are separated by a delay, except a watch that follows a read
@@ -126,15 +128,15 @@
         self.last_load_ms = float("-inf")
         self.n_failures = 0
 
-    def handle(self, event: FollowEvent) -> FollowAction:
+    def handle(self, event: FollowerEvent) -> FollowerAction:
         """Apply one event and return the next step."""
         return _apply(event, self)
 
-    def pause(self) -> Pause:
+    def next_delay(self) -> Delay:
         """Return a delay that grows with the number of consecutive failures."""
         self.n_failures += 1
         duration_ms: float = DELAY_FIRST_MS * 2.0 ** min(self.n_failures - 1, 8)
-        return Pause(min(duration_ms, DELAY_MAX_MS))
+        return Delay(min(duration_ms, DELAY_MAX_MS))
 
     def watch(self, now_ms: float) -> Watch:
         """Return a watch from the known version, so that no change is missed."""
@@ -143,49 +145,49 @@
 
 
 @singledispatch
-def _apply(event: FollowEvent, follower: StoreFollower) -> FollowAction:
+def _apply(event: FollowerEvent, follower: ObjectFollower) -> FollowerAction:
     raise TypeError(f"not an event: {type(event).__name__}")
 
 
 @_apply.register
-def _(event: Loaded, follower: StoreFollower) -> FollowAction:
+def _(event: ObjectRead, follower: ObjectFollower) -> FollowerAction:
     follower.version = event.version
     follower.last_load_ms = event.now_ms
     # Whether the instance is a watcher is known when the delay ends.
-    return Pause(0.0)
+    return Delay(0.0)
 
 
 @_apply.register
-def _(event: WatchEnded, follower: StoreFollower) -> FollowAction:
+def _(event: WatchEnded, follower: ObjectFollower) -> FollowerAction:
     follower.version = max(event.version, follower.version or 0)
     elapsed_ms = event.now_ms - follower.watch_started_ms
     if event.is_empty and elapsed_ms < follower.watch_timeout_ms / 2.0:
         # A store that ends watches early must not be called in a tight loop.
-        return follower.pause()
+        return follower.next_delay()
     follower.n_failures = 0
     if event.n_changes >= N_BURST_CHANGES_MIN:
-        return Pause(BURST_DELAY_MS)
-    return Pause(max(0.0, WATCH_INTERVAL_MIN_MS - elapsed_ms))
+        return Delay(BURST_DELAY_MS)
+    return Delay(max(0.0, WATCH_INTERVAL_MIN_MS - elapsed_ms))
 
 
 @_apply.register
-def _(event: WatchTrimmed, follower: StoreFollower) -> FollowAction:
+def _(event: WatchHistoryTrimmed, follower: ObjectFollower) -> FollowerAction:
     follower.version = None
-    return follower.pause()
+    return follower.next_delay()
 
 
 @_apply.register
-def _(event: StoreFailed, follower: StoreFollower) -> FollowAction:
+def _(event: StoreCallFailed, follower: ObjectFollower) -> FollowerAction:
     # A read ends soon in any case, whereas a watch of an unresponsive store would
     # hang until its time-out.
     follower.version = None
-    return follower.pause()
+    return follower.next_delay()
 
 
 @_apply.register
-def _(event: PauseEnded, follower: StoreFollower) -> FollowAction:
+def _(event: DelayEnded, follower: ObjectFollower) -> FollowerAction:
     if follower.version is None:
-        return Load()
+        return ReadObject()
     if event.is_watcher:
         return follower.watch(event.now_ms)
     # A read that confirmed nothing, because it was stale or found no object, is not
@@ -195,7 +197,7 @@
         follower.last_load_ms + DELAY_MAX_MS,
     )
     if event.now_ms < due_ms:
-        return Pause(max(due_ms - event.now_ms, DELAY_MIN_MS))
+        return Delay(max(due_ms - event.now_ms, DELAY_MIN_MS))
     # Changes that were not watched are covered by the object's current state.
     follower.version = None
-    return Load()
+    return ReadObject()
--- a/chestnuthall/core/configuration/tests/test_records.py
+++ b/chestnuthall/core/configuration/tests/test_records.py
@@ -10,12 +10,12 @@
 
 from chestnuthall.core.configuration import (
     History,
-    InForce,
     RevisionRecord,
-    Settlement,
+    StoredRevision,
+    WriteOutcome,
     add_to_history,
-    decide_settlement,
     differences,
+    resolve_write,
 )
 from chestnuthall.core.model import CallerClass, EnvironmentDocument, UpstreamGroup
 
@@ -49,34 +49,46 @@
     assert [item.revision for item in history.records] == [1, 2, 3]
 
 
-BASE = InForce(make_record(1), 7)
+BASE = StoredRevision(make_record(1), 7)
 # (case, base, found, tokens in the history, settlement)
 SETTLEMENTS = [
-    ("own token", BASE, InForce(make_record(2), 8), [], Settlement.ACCEPTED),
-    ("unchanged", BASE, BASE, [1], Settlement.WRITE_AGAIN),
-    ("no object yet", None, None, [], Settlement.WRITE_AGAIN),
-    ("token of another write", BASE, InForce(make_record(3), 8), [1], Settlement.LOST),
-    ("created by another write", None, InForce(make_record(3), 8), [], Settlement.LOST),
-    ("deleted", BASE, None, [1], Settlement.LOST),
+    ("own token", BASE, StoredRevision(make_record(2), 8), [], WriteOutcome.ACCEPTED),
+    ("unchanged", BASE, BASE, [1], WriteOutcome.RETRY),
+    ("no object yet", None, None, [], WriteOutcome.RETRY),
+    (
+        "token of another write",
+        BASE,
+        StoredRevision(make_record(3), 8),
+        [1],
+        WriteOutcome.LOST,
+    ),
+    (
+        "created by another write",
+        None,
+        StoredRevision(make_record(3), 8),
+        [],
+        WriteOutcome.LOST,
+    ),
+    ("deleted", BASE, None, [1], WriteOutcome.LOST),
     (
         "replaced",
         BASE,
-        InForce(make_record(3), 9),
+        StoredRevision(make_record(3), 9),
         [1, 2],
-        Settlement.ACCEPTED_AND_REPLACED,
+        WriteOutcome.ACCEPTED_AND_REPLACED,
     ),
 ]
 
 
 @pytest.mark.parametrize(
-    ("base", "found", "tokens", "settlement"),
+    ("base", "found", "tokens", "write_outcome"),
     [case[1:] for case in SETTLEMENTS],
     ids=[case[0] for case in SETTLEMENTS],
 )
-def test_settlement(base, found, tokens, settlement):
+def test_write_outcome(base, found, tokens, write_outcome):
     """A write that took effect must not be reported as lost, nor the reverse."""
     history = history_of(*(make_record(number) for number in tokens))
-    assert decide_settlement("t2", base, found, history) is settlement
+    assert resolve_write("t2", base, found, history) is write_outcome
 
 
 CLASS = CallerClass(
--- a/chestnuthall/core/drains/_events.py
+++ b/chestnuthall/core/drains/_events.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Signalled(DrainEvent):
+class DrainDetected(DrainEvent):
     """This instance itself detected that a replica is draining."""
 
     wall_ms: float
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CameBack(DrainEvent):
+class DrainEndDetected(DrainEvent):
     """This instance itself detected that a replica accepts calls again.
 
     ``observed_ms`` is the earliest time to which the observation can refer,
@@ -87,5 +87,5 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SpreadNews(DrainAction):
+class DisseminateNotices(DrainAction):
     """Send notices to some peers at once, without waiting for the next probe."""
--- a/chestnuthall/core/drains/_register.py
+++ b/chestnuthall/core/drains/_registry.py
@@ -6,15 +6,15 @@
 from random import Random
 
 from chestnuthall.core.drains._events import (
-    CameBack,
+    DisseminateNotices,
     DrainAction,
+    DrainDetected,
+    DrainEndDetected,
     DrainEvent,
     DrainSignal,
     Notice,
     NoticesReceived,
     ResumeCalls,
-    Signalled,
-    SpreadNews,
     StopCalls,
 )
 
@@ -70,7 +70,7 @@
     is_shown_in_health: bool = False
 
 
-class DrainRegister:
+class DrainRegistry:
     """Decides from signals and notices which replicas get no new calls.
 
     A notice keeps the expiry that it had when it was first received, so that
@@ -95,7 +95,7 @@
         raise TypeError(f"unsupported drain event: {type(event).__name__}")
 
     @_process.register
-    def _(self, event: Signalled) -> list[DrainAction]:
+    def _(self, event: DrainDetected) -> list[DrainAction]:
         lifetime_ms = self._settings.lifetimes_ms[event.signal]
         record = self._records.get(event.replica_name)
         is_shown_in_health = event.signal is DrainSignal.HEALTH
@@ -118,10 +118,10 @@
         )
         stop = StopCalls(event.replica_name, expires_ms)
         # A renewal is not urgent, because all instances still have the old notice.
-        return [stop] if was_active else [stop, SpreadNews()]
+        return [stop] if was_active else [stop, DisseminateNotices()]
 
     @_process.register
-    def _(self, event: CameBack) -> list[DrainAction]:
+    def _(self, event: DrainEndDetected) -> list[DrainAction]:
         record = self._records.get(event.replica_name)
         if record is None or self._is_inactive(record, event.now_ms):
             return []
@@ -148,7 +148,7 @@
         for notice in event.notices:
             actions += self._merge(notice, event.now_ms)
         if any(isinstance(action, StopCalls) for action in actions):
-            actions.append(SpreadNews())
+            actions.append(DisseminateNotices())
         return actions
 
     def _merge(self, notice: Notice, now_ms: float) -> list[DrainAction]:
@@ -193,7 +193,7 @@
         while len(self._records) >= self._settings.n_records_max:
             del self._records[next(iter(self._records))]
 
-    def take_notices(self, now_ms: float) -> tuple[Notice, ...]:
+    def select_notices(self, now_ms: float) -> tuple[Notice, ...]:
         """Select the notices for one message and count them as sent."""
         settings = self._settings
         pending = [
@@ -217,7 +217,7 @@
             record.expires_ms - now_ms,
         )
 
-    def active(self, now_ms: float) -> tuple[Notice, ...]:
+    def active_drains(self, now_ms: float) -> tuple[Notice, ...]:
         """Return the notices of the drains that are active now."""
         return tuple(
             self._notice(name, now_ms)
--- a/chestnuthall/core/fanout/_events.py
+++ b/chestnuthall/core/fanout/_events.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Begin(Event):
+class QueryStarted(Event):
     """The query was admitted and its partition map is pinned."""
 
 
@@ -56,12 +56,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Warned(Event):
-    """Result of ``Warn``: all reachable peers were notified."""
+class PeersNotified(Event):
+    """Result of ``NotifyPeers``: all reachable peers were notified."""
 
 
 @dataclass(frozen=True, slots=True)
-class VerdictGiven(Event):
+class VerdictReached(Event):
     """A suspected request was cleared or quarantined, here or at a peer."""
 
 
@@ -95,11 +95,11 @@
 class Replan(Action):
     """Request a map whose snapshot is none of the unavailable ones."""
 
-    gone_snapshot_ids: tuple[int, ...]
+    unavailable_snapshot_ids: tuple[int, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Warn(Action):
+class NotifyPeers(Action):
     """Notify the peers of a suspected request before a second replica runs it."""
 
     fingerprint: str
@@ -109,8 +109,8 @@
 class Completion:
     """Outcome of a fan-out; ``failure`` is None on success.
 
-    ``run`` states whether any replica ran the request. ``reply`` is the reply
-    to the caller of a relayed request, and ``parts`` are the shard replies from
+    ``run_state`` states whether any replica ran the request. ``reply`` is the reply
+    to the caller of a relayed request, and ``shard_replies`` are the shard replies from
     which it was merged. ``decisions`` lists the decisions that led to the
     outcome, in chronological order.
     """
@@ -120,9 +120,9 @@
     coverage: Coverage
     snapshot_id: int
     account: FanOutAccount
-    run: RunState = RunState.UNKNOWN
+    run_state: RunState = RunState.UNKNOWN
     reply: Reply | None = None
-    parts: tuple[Reply, ...] = ()
+    shard_replies: tuple[Reply, ...] = ()
     decisions: tuple[Decision, ...] = ()
 
 
--- a/chestnuthall/core/fanout/_handlers.py
+++ b/chestnuthall/core/fanout/_handlers.py
@@ -5,15 +5,15 @@
 from chestnuthall.core.fanout import _probes as probes
 from chestnuthall.core.fanout._events import (
     Action,
-    Begin,
     CallAnswered,
     CallFailed,
     Event,
     MapReplaced,
+    PeersNotified,
+    QueryStarted,
     Replan,
     TimerFired,
-    VerdictGiven,
-    Warned,
+    VerdictReached,
 )
 from chestnuthall.core.fanout._hedges import hedge_due_shards
 from chestnuthall.core.fanout._progress import ProbeStep, RunningCall, ShardProgress
@@ -50,14 +50,14 @@
 
 
 @apply_event.register
-def _(event: Begin, state: FanOutState) -> list[Action]:
+def _(event: QueryStarted, state: FanOutState) -> list[Action]:
     # The probe of a suspected request is one call to one replica, so its shards
     # must not be bundled into sets.
-    may_bundle = not state.is_suspected(event.now_ms)
-    state.plan(state.partition_map, may_bundle)
+    may_combine = not state.is_suspected(event.now_ms)
+    state.plan(state.partition_map, may_combine)
     context = state.context
     shard_ids = state.direct_shard_ids()
-    context.budget.earn(shard_ids, context.utilisation_ratio, event.now_ms)
+    context.budget.record_calls(shard_ids, context.utilisation_ratio, event.now_ms)
     return _start_calls(state, event.now_ms)
 
 
@@ -77,10 +77,10 @@
     answer = event.answer
     if not _matches_call(answer, running.call):
         state.n_discarded += 1
-        failure = CALL_MISMATCH.because("the answer has the ids of another call")
+        failure = CALL_MISMATCH.with_reason("the answer has the ids of another call")
         return _handle_failure(state, progress, running, failure, event.now_ms)
     if answer.is_error:
-        failure = UPSTREAM_ERROR.because("the replica answered with an error")
+        failure = UPSTREAM_ERROR.with_reason("the replica answered with an error")
         state.error_reply = answer.reply
         return _handle_failure(state, progress, running, failure, event.now_ms)
     state.context.router.on_answered(
@@ -88,7 +88,7 @@
         running.started_ms,
         answer,
         event.now_ms,
-        work=state.work_of(progress),
+        call_type=state.call_type_of(progress),
     )
     elapsed_ms = event.now_ms - running.started_ms
     _record_answer(state, progress, answer, elapsed_ms)
@@ -184,7 +184,7 @@
 ) -> None:
     context = state.context
     # A peer that terminates does not indicate that the request crashes replicas.
-    is_replica_loss = failure.kind is CONNECTION_LOST and not progress.shard.members
+    is_replica_loss = failure.kind is CONNECTION_LOST and not progress.shard.shards
     is_attributed_to_request = is_replica_loss and state.is_suspected(now_ms)
     if is_replica_loss:
         progress.has_lost_replica = True
@@ -202,8 +202,8 @@
         running.call.snapshot_id,
         running.started_ms,
         now_ms,
-        is_explained=is_attributed_to_request,
-        work=state.work_of(progress),
+        is_attributed_to_request=is_attributed_to_request,
+        call_type=state.call_type_of(progress),
     )
 
 
@@ -215,7 +215,7 @@
         return False
     # A peer that may have started a shard set may have called its replicas, and
     # those calls count towards the replica limit of the request.
-    is_repeatable = is_idempotent(request) and not progress.shard.members
+    is_repeatable = is_idempotent(request) and not progress.shard.shards
     if not is_repeatable and failure.kind not in NOT_STARTED_KINDS:
         return False
     return not state.is_quarantined(now_ms)
@@ -227,13 +227,13 @@
     # A call that was never written, or that a replica refused because of its
     # snapshot, caused no work at an upstream; only other retries are extra load.
     is_free = failure.kind in NOT_SENT_KINDS or failure.kind is SNAPSHOT_GONE
-    is_free = is_free or bool(progress.shard.members)
+    is_free = is_free or bool(progress.shard.shards)
     # An upstream that sheds load has no spare capacity, so its retries may use
     # only accumulated credit.
     may_overdraw = failure.kind is not SHED_BY_UPSTREAM
     budget = state.context.budget
     shard_id = progress.shard.shard_id
-    if not is_free and not budget.try_take_retry(shard_id, now_ms, may_overdraw):
+    if not is_free and not budget.try_acquire_retry(shard_id, now_ms, may_overdraw):
         state.fail_shard(progress, "budget", now_ms)
         return []
     state.n_retries += 1
@@ -249,7 +249,7 @@
     router = state.context.router
     snapshot_id = state.partition_map.snapshot_id
     return any(
-        router.holds(replica, snapshot_id, now_ms)
+        router.serves_snapshot(replica, snapshot_id, now_ms)
         for replica in progress.shard.replicas
         if replica.name not in progress.tried_names
     )
@@ -260,9 +260,9 @@
     progress.has_failed = True
     if state.is_replanning or not state.may_replan():
         return []
-    state.gone_snapshot_ids.append(state.partition_map.snapshot_id)
+    state.unavailable_snapshot_ids.append(state.partition_map.snapshot_id)
     state.is_replanning = True
-    return [Replan(tuple(state.gone_snapshot_ids))]
+    return [Replan(tuple(state.unavailable_snapshot_ids))]
 
 
 @apply_event.register
@@ -300,7 +300,10 @@
     n_reachable = sum(
         shard.n_documents
         for shard in shards
-        if any(router.holds(r, new_map.snapshot_id, now_ms) for r in shard.replicas)
+        if any(
+            router.serves_snapshot(r, new_map.snapshot_id, now_ms)
+            for r in shard.replicas
+        )
     )
     return n_reachable > ratio * n_total
 
@@ -329,10 +332,10 @@
 
 
 @apply_event.register
-def _(event: Warned, state: FanOutState) -> list[Action]:
+def _(event: PeersNotified, state: FanOutState) -> list[Action]:
     return probes.on_warned(state, event.now_ms)
 
 
 @apply_event.register
-def _(event: VerdictGiven, state: FanOutState) -> list[Action]:
+def _(event: VerdictReached, state: FanOutState) -> list[Action]:
     return probes.resolve_deferred(state, event.now_ms)
--- a/chestnuthall/core/fanout/_hedges.py
+++ b/chestnuthall/core/fanout/_hedges.py
@@ -44,12 +44,12 @@
 def hedge_timing(state: FanOutState) -> HedgeTiming:
     """Return the hedge timing of a query from the router's latency statistics."""
     router = state.context.router
-    work = state.context.work
-    delay_ms = router.hedge_delay_ms(work)
+    call_type = state.context.call_type
+    delay_ms = router.hedge_delay_ms(call_type)
     soft_ms = state.context.caller_class.soft_deadline_ms
-    if soft_ms is None or not work:
+    if soft_ms is None or not call_type:
         return HedgeTiming(delay_ms, 0.0, float("inf"))
-    min_age_ms = MIN_AGE_FACTOR * router.typical_ms(work)
+    min_age_ms = MIN_AGE_FACTOR * router.typical_ms(call_type)
     # A second call gets as much time to answer as the first one got at least.
     latest_ms = state.request.arrived_ms + soft_ms - min_age_ms
     return HedgeTiming(delay_ms, min_age_ms, latest_ms)
@@ -68,7 +68,7 @@
         progress.answer is None
         and not progress.is_hedged
         and len(progress.shard.replicas) > 1
-        and not progress.shard.members
+        and not progress.shard.shards
     )
 
 
@@ -108,7 +108,7 @@
         progress.tried_names,
         now_ms,
         needs_free_slot=True,
-        work=state.context.work,
+        call_type=state.context.call_type,
     )
     age_ms = now_ms - oldest.started_ms
     shard_id = progress.shard.shard_id
@@ -117,9 +117,9 @@
             state, progress, "no replica with a free slot", age_ms, now_ms
         )
         return []
-    delay_ms = state.context.router.hedge_delay_ms(state.context.work)
+    delay_ms = state.context.router.hedge_delay_ms(state.context.call_type)
     lateness_ratio = age_ms / delay_ms
-    if not state.context.budget.try_take_hedge(shard_id, now_ms, lateness_ratio):
+    if not state.context.budget.try_acquire_hedge(shard_id, now_ms, lateness_ratio):
         _record_withheld_hedge(state, progress, "budget", age_ms, now_ms)
         return []
     progress.is_hedged = True
--- a/chestnuthall/core/fanout/_machine.py
+++ b/chestnuthall/core/fanout/_machine.py
@@ -51,14 +51,14 @@
             self.partition_map.snapshot_id,
         )
         completion = completion_of(self, now_ms)
-        return [*self.abandon(now_ms), Complete(completion)]
+        return [*self.cancel(now_ms), Complete(completion)]
 
-    def abandon(self, now_ms: float) -> list[Action]:
+    def cancel(self, now_ms: float) -> list[Action]:
         """Cancel every call and release the reservation of the probe."""
         actions = self.cancel_all(now_ms)
         self.is_complete = True
         request = self.request
-        self.context.quarantine.release_hold(
+        self.context.quarantine.release_probe(
             request.fingerprint, request.request_id, now_ms
         )
         return actions
@@ -107,7 +107,7 @@
         if self.is_replanning:
             return due_ms
         if deferred_shards(self):
-            reserved_until_ms = self.context.quarantine.held_until_ms(
+            reserved_until_ms = self.context.quarantine.probe_reserved_until_ms(
                 self.request.fingerprint
             )
             due_ms = min(
--- a/chestnuthall/core/fanout/_partial.py
+++ b/chestnuthall/core/fanout/_partial.py
@@ -38,7 +38,7 @@
     )
 
 
-def merge_partials(
+def merge_partial_answers(
     answers: Sequence[PartialAnswer], snapshot_id: int, n_hits_max: int
 ) -> PartialAnswer:
     """Merge the partial answers of one snapshot into one answer.
--- a/chestnuthall/core/fanout/_probes.py
+++ b/chestnuthall/core/fanout/_probes.py
@@ -6,7 +6,7 @@
 as the probe, and the other shards wait for its outcome, the verdict.
 """
 
-from chestnuthall.core.fanout._events import Action, Warn
+from chestnuthall.core.fanout._events import Action, NotifyPeers
 from chestnuthall.core.fanout._progress import ProbeStep, ShardProgress
 from chestnuthall.core.fanout._state import N_ATTEMPTS_MAX, PROBE_REASON, FanOutState
 from chestnuthall.core.fanout._targets import with_eligible_replicas
@@ -38,12 +38,12 @@
     if state.probe_step is not ProbeStep.NONE:
         return []
     request = state.request
-    if not state.context.quarantine.try_hold(
+    if not state.context.quarantine.try_reserve_probe(
         request.fingerprint, request.request_id, now_ms
     ):
         return []
-    state.probe_step = ProbeStep.WARNING
-    return [Warn(request.fingerprint)]
+    state.probe_step = ProbeStep.NOTIFYING_PEERS
+    return [NotifyPeers(request.fingerprint)]
 
 
 def on_warned(state: FanOutState, now_ms: float) -> list[Action]:
@@ -78,17 +78,19 @@
     In a failing zone the probe would be lost even if the request is harmless.
     """
     router = state.context.router
-    lost_zones = state.context.quarantine.lost_zones(state.request.fingerprint, now_ms)
+    zones_with_losses = state.context.quarantine.zones_with_losses(
+        state.request.fingerprint, now_ms
+    )
     in_lost_zones = {
-        item.name for item in progress.shard.replicas if item.zone in lost_zones
+        item.name for item in progress.shard.replicas if item.zone in zones_with_losses
     }
     snapshot_id = state.partition_map.snapshot_id
     excluded = progress.tried_names
     shard = with_eligible_replicas(state.request, progress)
-    work = state.context.work
+    call_type = state.context.call_type
     return router.choose(
-        shard, snapshot_id, excluded | in_lost_zones, now_ms, work=work
-    ) or router.choose(shard, snapshot_id, excluded, now_ms, work=work)
+        shard, snapshot_id, excluded | in_lost_zones, now_ms, call_type=call_type
+    ) or router.choose(shard, snapshot_id, excluded, now_ms, call_type=call_type)
 
 
 def _acquire_retry_credit(
@@ -96,7 +98,7 @@
 ) -> bool:
     if progress.n_attempts == 0:
         return True
-    if not state.context.budget.try_take_retry(
+    if not state.context.budget.try_acquire_retry(
         progress.shard.shard_id, now_ms, may_overdraw=True
     ):
         return False
--- a/chestnuthall/core/fanout/_progress.py
+++ b/chestnuthall/core/fanout/_progress.py
@@ -10,7 +10,7 @@
     """Progress of the probe of a suspected request."""
 
     NONE = "none"
-    WARNING = "warning"
+    NOTIFYING_PEERS = "warning"
     RUNNING = "running"
 
 
--- a/chestnuthall/core/fanout/_state.py
+++ b/chestnuthall/core/fanout/_state.py
@@ -23,7 +23,7 @@
     ShardSet,
     is_idempotent,
 )
-from chestnuthall.core.quarantine import QuarantineRegister
+from chestnuthall.core.quarantine import QuarantineRegistry
 from chestnuthall.core.results import (
     CALL_CANCELLED,
     CONNECTION_REFUSED,
@@ -69,13 +69,13 @@
 
     router: Router
     budget: ExtraLoad
-    quarantine: QuarantineRegister
+    quarantine: QuarantineRegistry
     caller_class: CallerClass
     utilisation_ratio: float = 0.0
     # Label of the kind of call, for which ``Router`` keeps separate latencies.
-    work: str = ""
+    call_type: str = ""
     # Groups shards into sets that peers answer; None disables shard sets.
-    bundle: Callable[[Sequence[Shard]], tuple[Shard, ...]] | None = None
+    combine_shards: Callable[[Sequence[Shard]], tuple[Shard, ...]] | None = None
 
 
 class FanOutState:
@@ -92,7 +92,7 @@
         self.is_replanning = False
         self.has_failed_shards = False
         self.probe_step = ProbeStep.NONE
-        self.gone_snapshot_ids: list[int] = []
+        self.unavailable_snapshot_ids: list[int] = []
         self.last_failure: Failure | None = None
         self.error_reply: Reply | None = None
         self.n_calls = 0
@@ -123,12 +123,12 @@
             DecisionEvent.SHARD_GIVEN_UP, now_ms, shard_id, progress.n_attempts, reason
         )
 
-    def plan(self, partition_map: PartitionMap, may_bundle: bool = False) -> None:
+    def plan(self, partition_map: PartitionMap, may_combine: bool = False) -> None:
         """Pin a map and discard all answers merged under the previous one."""
         self.partition_map = partition_map
         shards = target_shards(self.request, partition_map)
-        if may_bundle and self.context.bundle is not None:
-            shards = self.context.bundle(shards)
+        if may_combine and self.context.combine_shards is not None:
+            shards = self.context.combine_shards(shards)
         self.shards = {shard.shard_id: ShardProgress(shard) for shard in shards}
         self._unfinished = list(self.shards.values())
 
@@ -137,16 +137,16 @@
         return [
             shard_id
             for shard_id, progress in self.shards.items()
-            if not progress.shard.members
+            if not progress.shard.shards
         ]
 
-    def work_of(self, progress: ShardProgress) -> str:
+    def call_type_of(self, progress: ShardProgress) -> str:
         """Return the label of the shard's kind of call.
 
         Shard sets have a label of their own, as their calls take longer.
         """
-        work = self.context.work
-        return f"{work} set" if progress.shard.members else work
+        call_type = self.context.call_type
+        return f"{call_type} set" if progress.shard.shards else call_type
 
     @property
     def all_shards_finished(self) -> bool:
@@ -168,7 +168,7 @@
     def try_dispatch(self, progress: ShardProgress, now_ms: float) -> list[Action]:
         """Start a call of a shard, or fail the shard if no replica can be called."""
         progress.retry_at_ms = None
-        if progress.shard.members:
+        if progress.shard.shards:
             return self._dispatch_set(progress, now_ms)
         replica = self._choose(progress, now_ms)
         if replica is None and progress.tried_names and is_idempotent(self.request):
@@ -194,12 +194,12 @@
         """Replace a shard set by its members, of which no replica was called yet."""
         del self.shards[progress.shard.shard_id]
         self._unfinished.remove(progress)
-        members = [ShardProgress(shard) for shard in progress.shard.members]
+        members = [ShardProgress(shard) for shard in progress.shard.shards]
         self.shards |= {item.shard.shard_id: item for item in members}
         self._unfinished += members
         context = self.context
         member_ids = [item.shard.shard_id for item in members]
-        context.budget.earn(member_ids, context.utilisation_ratio, now_ms)
+        context.budget.record_calls(member_ids, context.utilisation_ratio, now_ms)
         actions: list[Action] = []
         for item in members:
             actions += self.try_dispatch(item, now_ms)
@@ -211,18 +211,18 @@
             self.partition_map.snapshot_id,
             progress.tried_names,
             now_ms,
-            work=self.work_of(progress),
+            call_type=self.call_type_of(progress),
         )
 
     def _shard_set(self, shard: Shard) -> ShardSet | None:
-        if not shard.members:
+        if not shard.shards:
             return None
         floor = self.context.caller_class.coverage_floor_ratio
         n_total = len(self.partition_map.shards)
         # Rounding errors can put a product such as (1.0 - 0.9) * 30 just below its
         # integer.
         n_missing_max = int((1.0 - floor) * n_total + 1e-9)
-        shard_ids = tuple(item.shard_id for item in shard.members)
+        shard_ids = tuple(item.shard_id for item in shard.shards)
         return ShardSet(shard_ids, n_missing_max)
 
     def start(
@@ -251,7 +251,7 @@
         self._shard_of_call[call.call_id] = call.shard_id
         self.n_calls += 1
         self._record_call_sent(call, progress, reason, now_ms)
-        self.context.router.on_started(replica, now_ms, self.work_of(progress))
+        self.context.router.on_started(replica, now_ms, self.call_type_of(progress))
         return Dispatch(call)
 
     def _record_call_sent(
@@ -289,11 +289,11 @@
             self._shard_of_call.pop(call_id, None)
             self.context.router.on_failed(
                 running.call.replica,
-                CALL_CANCELLED.because("answer no longer needed"),
+                CALL_CANCELLED.with_reason("answer no longer needed"),
                 running.call.snapshot_id,
                 running.started_ms,
                 now_ms,
-                work=self.work_of(progress),
+                call_type=self.call_type_of(progress),
             )
             self.record_decision(
                 DecisionEvent.CALL_CANCELLED,
@@ -315,7 +315,7 @@
 
     def may_replan(self) -> bool:
         """Return whether the query may start over on another snapshot."""
-        return len(self.gone_snapshot_ids) < N_REPLANS_MAX
+        return len(self.unavailable_snapshot_ids) < N_REPLANS_MAX
 
     def is_suspected(self, now_ms: float) -> bool:
         """Return whether the request lost a replica and has not been cleared since."""
@@ -364,7 +364,7 @@
             n_calls=self.n_calls,
             n_hedges=self.n_hedges,
             n_retries=self.n_retries,
-            n_replans=len(self.gone_snapshot_ids),
+            n_replans=len(self.unavailable_snapshot_ids),
             n_discarded=self.n_discarded,
             slowest_shard_id=self.slowest_shard_id,
             slowest_shard_ms=self.slowest_shard_ms,
--- a/chestnuthall/core/fanout/tests/test_machine.py
+++ b/chestnuthall/core/fanout/tests/test_machine.py
@@ -9,7 +9,6 @@
 import pytest
 
 from chestnuthall.core.fanout import (
-    Begin,
     CallAnswered,
     CallFailed,
     Complete,
@@ -17,6 +16,7 @@
     FanOut,
     FanOutContext,
     MapReplaced,
+    QueryStarted,
     Replan,
     SetTimer,
     TimerFired,
@@ -33,7 +33,7 @@
     Shard,
     ShardAnswer,
 )
-from chestnuthall.core.quarantine import QuarantineRegister, QuarantineSettings
+from chestnuthall.core.quarantine import QuarantineRegistry, QuarantineSettings
 from chestnuthall.core.results import (
     CONNECTION_LOST,
     COVERAGE_BELOW_FLOOR,
@@ -75,7 +75,7 @@
     context = FanOutContext(
         router=Router(RouterSettings(zone="z"), Random(1)),
         budget=ExtraLoadBudget(ExtraLoadPolicy()),
-        quarantine=QuarantineRegister(QuarantineSettings()),
+        quarantine=QuarantineRegistry(QuarantineSettings()),
         caller_class=caller_class,
     )
     return FanOut(request or make_search(), partition_map or make_map(), context)
@@ -142,7 +142,7 @@
 def test_only_complete_answers_of_the_call_count(changes, n_shards_covered):
     """An answer of another call, shard or snapshot must not be merged."""
     fan_out = make_fan_out(partition_map=make_map(n_replicas=1))
-    calls = calls_of(fan_out.handle(Begin(0.0)))
+    calls = calls_of(fan_out.handle(QueryStarted(0.0)))
     actions = []
     for index, call in enumerate(calls):
         answer = answer_to(call, **(changes if index == 0 else {}))
@@ -157,7 +157,7 @@
 def test_duplicate_answer_counts_once():
     """A duplicate answer of a shard must not be counted twice in the coverage."""
     fan_out = make_fan_out()
-    first, *rest = calls_of(fan_out.handle(Begin(0.0)))
+    first, *rest = calls_of(fan_out.handle(QueryStarted(0.0)))
     for _ in range(2):
         fan_out.handle(CallAnswered(1.0, first.call_id, answer_to(first)))
     assert fan_out.coverage().n_documents_covered == 100
@@ -168,9 +168,9 @@
 def test_replan_discards_hits_of_old_snapshot():
     """Hits of a snapshot that is unloaded during the query must not be merged."""
     fan_out = make_fan_out(partition_map=make_map(n_replicas=1))
-    first, second, _ = calls_of(fan_out.handle(Begin(0.0)))
+    first, second, _ = calls_of(fan_out.handle(QueryStarted(0.0)))
     fan_out.handle(CallAnswered(1.0, first.call_id, answer_to(first)))
-    unavailable = SNAPSHOT_GONE.because("swapped")
+    unavailable = SNAPSHOT_GONE.with_reason("swapped")
     actions = fan_out.handle(CallFailed(2.0, second.call_id, unavailable))
     assert [item for item in actions if isinstance(item, Replan)] == [Replan((1,))]
     actions = fan_out.handle(MapReplaced(3.0, make_map(4, 1, snapshot_id=2)))
@@ -187,9 +187,9 @@
 def test_without_newer_map_merged_answers_are_returned():
     """Without a newer map the answer keeps its snapshot and actual coverage."""
     fan_out = make_fan_out(partition_map=make_map(n_replicas=1))
-    first, second, third = calls_of(fan_out.handle(Begin(0.0)))
+    first, second, third = calls_of(fan_out.handle(QueryStarted(0.0)))
     fan_out.handle(CallAnswered(1.0, first.call_id, answer_to(first)))
-    unavailable = SNAPSHOT_GONE.because("swapped")
+    unavailable = SNAPSHOT_GONE.with_reason("swapped")
     fan_out.handle(CallFailed(2.0, second.call_id, unavailable))
     assert completion_of(fan_out.handle(MapReplaced(3.0, None))) is None
     last = CallAnswered(4.0, third.call_id, answer_to(third))
@@ -202,19 +202,19 @@
     ("failure", "n_dispatched", "kind"),
     [
         pytest.param(
-            CONNECTION_LOST.because("x"), 1, OUTCOME_UNKNOWN, id="connection-lost"
+            CONNECTION_LOST.with_reason("x"), 1, OUTCOME_UNKNOWN, id="connection-lost"
         ),
-        pytest.param(NO_REPLICA.because("x"), 2, None, id="never-written"),
-        pytest.param(SHED_BY_UPSTREAM.because("x"), 2, None, id="not-started"),
+        pytest.param(NO_REPLICA.with_reason("x"), 2, None, id="never-written"),
+        pytest.param(SHED_BY_UPSTREAM.with_reason("x"), 2, None, id="not-started"),
         pytest.param(
-            DEADLINE_PASSED.because("x"), 2, None, id="deadline-before-first-byte"
+            DEADLINE_PASSED.with_reason("x"), 2, None, id="deadline-before-first-byte"
         ),
     ],
 )
 def test_mutation_is_sent_again_only_if_not_started(failure, n_dispatched, kind):
     """A mutation must not run twice when only its answer may have been lost."""
     fan_out = make_fan_out(request=make_mutation())
-    (call,) = calls_of(fan_out.handle(Begin(0.0)))
+    (call,) = calls_of(fan_out.handle(QueryStarted(0.0)))
     actions = fan_out.handle(CallFailed(1.0, call.call_id, failure))
     actions += fan_out.handle(TimerFired(20.0))
     assert 1 + len(calls_of(actions)) == n_dispatched
@@ -225,14 +225,14 @@
 def test_mutation_is_not_hedged():
     """A mutation must not run on a second replica because the first is slow."""
     fan_out = make_fan_out(request=make_mutation(), partition_map=make_map(3, 3))
-    fan_out.handle(Begin(0.0))
+    fan_out.handle(QueryStarted(0.0))
     assert calls_of(fan_out.handle(TimerFired(DEADLINE_MS / 2))) == []
 
 
 def test_coverage_below_floor_is_a_failure():
     """An answer below the coverage floor of its class must not be returned."""
     fan_out = make_fan_out(floor=0.9)
-    first, *_ = calls_of(fan_out.handle(Begin(0.0)))
+    first, *_ = calls_of(fan_out.handle(QueryStarted(0.0)))
     fan_out.handle(CallAnswered(1.0, first.call_id, answer_to(first)))
     completion = completion_of(fan_out.handle(TimerFired(DEADLINE_MS)))
     assert completion.failure.kind is COVERAGE_BELOW_FLOOR
@@ -242,7 +242,7 @@
 def test_soft_deadline_returns_without_stragglers():
     """A straggler must not delay an answer that has reached the coverage floor."""
     fan_out = make_fan_out(floor=0.6, soft_deadline_ms=100.0)
-    first, second, _ = calls_of(fan_out.handle(Begin(0.0)))
+    first, second, _ = calls_of(fan_out.handle(QueryStarted(0.0)))
     fan_out.handle(CallAnswered(1.0, first.call_id, answer_to(first)))
     fan_out.handle(CallAnswered(1.0, second.call_id, answer_to(second)))
     completion = completion_of(fan_out.handle(TimerFired(100.0)))
@@ -255,7 +255,7 @@
     """A timer that fires early by rounding must not be set for the same instant."""
     fan_out = make_fan_out()
     now_ms = DEADLINE_MS - early_ms - 1e-9
-    fan_out.handle(Begin(0.0))
+    fan_out.handle(QueryStarted(0.0))
     (timer,) = [
         item
         for item in fan_out.handle(TimerFired(now_ms))
@@ -267,6 +267,6 @@
 def test_answers_do_not_set_the_timer_again():
     """Resetting the timer per answer would cost quadratic time in the shards."""
     fan_out = make_fan_out(partition_map=make_map(20))
-    actions = fan_out.handle(Begin(0.0))
+    actions = fan_out.handle(QueryStarted(0.0))
     for call in calls_of(actions)[:-1]:
         assert fan_out.handle(CallAnswered(1.0, call.call_id, answer_to(call))) == []
--- a/chestnuthall/core/fanout/tests/test_partial.py
+++ b/chestnuthall/core/fanout/tests/test_partial.py
@@ -9,7 +9,7 @@
     PartialAnswer,
     coverage_of,
     merge_hits,
-    merge_partials,
+    merge_partial_answers,
 )
 from chestnuthall.core.model import Hit, KeyRange, Shard, ShardAnswer
 
@@ -39,7 +39,9 @@
 @pytest.mark.parametrize("answered", [range(6), (0, 2, 5), ()])
 def test_merged_partial_answers_equal_single_answer(split, answered):
     """Coverage and hits must not depend on how the shards were split."""
-    merged = merge_partials([_partial(indices, answered) for indices in split], 1, 4)
+    merged = merge_partial_answers(
+        [_partial(indices, answered) for indices in split], 1, 4
+    )
     single = _partial(range(N_SHARDS), answered)
     assert merged.hits == single.hits
     assert merged.coverage.ratio == single.coverage.ratio
@@ -50,7 +52,7 @@
 def test_other_snapshot_is_not_merged():
     """Hits and coverage of another snapshot must never be merged."""
     answers = [_partial((0, 1, 2), range(6)), _partial((3, 4, 5), range(6), 2)]
-    merged = merge_partials(answers, 1, 100)
+    merged = merge_partial_answers(answers, 1, 100)
     assert {hit.key[0] for hit in merged.hits} == {"0", "1", "2"}
     assert merged.coverage.n_shards_covered == 2
     assert merged.coverage.n_shards_total == N_SHARDS
--- a/chestnuthall/core/fanout/tests/test_relayed.py
+++ b/chestnuthall/core/fanout/tests/test_relayed.py
@@ -10,13 +10,13 @@
 import pytest
 
 from chestnuthall.core.fanout import (
-    Begin,
     CallAnswered,
     CallFailed,
     Complete,
     Dispatch,
     FanOut,
     FanOutContext,
+    QueryStarted,
     TimerFired,
 )
 from chestnuthall.core.model import (
@@ -30,7 +30,7 @@
     Shard,
     ShardAnswer,
 )
-from chestnuthall.core.quarantine import QuarantineRegister, QuarantineSettings
+from chestnuthall.core.quarantine import QuarantineRegistry, QuarantineSettings
 from chestnuthall.core.results import (
     ANSWER_CUT,
     COVERAGE_BELOW_FLOOR,
@@ -40,10 +40,10 @@
     RunState,
 )
 from chestnuthall.core.routing import (
-    RepeatBudget,
-    RepeatLimits,
     Router,
     RouterSettings,
+    ServiceExtraLoadBudget,
+    ServiceExtraLoadLimits,
 )
 
 DEADLINE_MS = 800.0
@@ -81,12 +81,14 @@
         )
         for i in range(n_shards)
     )
-    budget = RepeatBudget(RepeatLimits(ratio=1.0, window_ms=10_000.0, n_floor=100.0))
+    budget = ServiceExtraLoadBudget(
+        ServiceExtraLoadLimits(ratio=1.0, window_ms=10_000.0, n_floor=100.0)
+    )
     budget.set_n_instances(1)
     context = FanOutContext(
         router=Router(RouterSettings(hedge_delay_unknown_ms=60.0), Random(1)),
         budget=budget,
-        quarantine=QuarantineRegister(QuarantineSettings()),
+        quarantine=QuarantineRegistry(QuarantineSettings()),
         caller_class=CallerClass(
             name="c",
             share=1.0,
@@ -95,7 +97,7 @@
             deadline_ms=DEADLINE_MS,
             soft_deadline_ms=SOFT_DEADLINE_MS,
         ),
-        work="c",
+        call_type="c",
     )
     return FanOut(request, PartitionMap("g", 7, shards), context)
 
@@ -118,17 +120,19 @@
 
 
 def failed(now_ms, call, kind):
-    return CallFailed(now_ms, call.call_id, kind.because("x"))
+    return CallFailed(now_ms, call.call_id, kind.with_reason("x"))
 
 
 def test_greatest_records_of_all_shards_are_merged():
     fan_out = make_fan_out()
     bodies = [b"aazz", b"bb", b"zzcc", b"ddx"]
-    for body, call in zip(bodies, calls_of(fan_out.handle(Begin(0.0))), strict=True):
+    for body, call in zip(
+        bodies, calls_of(fan_out.handle(QueryStarted(0.0))), strict=True
+    ):
         actions = fan_out.handle(answered(10.0, call, body))
     completion = completion_of(actions)
     assert completion.reply.body == b"zzzzdd"
-    assert len(completion.parts) == 4
+    assert len(completion.shard_replies) == 4
 
 
 # (case, kind of failure of each call, maximum number of replicas called per shard)
@@ -149,7 +153,7 @@
 def test_attempts_stay_within_replica_limit(request_kind, kind, n_replicas_called_max):
     """The operator's limit on replicas must hold for each shard of a request."""
     fan_out = make_fan_out(request_kind)
-    pending = calls_of(fan_out.handle(Begin(0.0)))
+    pending = calls_of(fan_out.handle(QueryStarted(0.0)))
     sent = {}
     now_ms = 1.0
     for _ in range(100):
@@ -168,7 +172,7 @@
 
 def test_hedge_counts_as_an_attempt():
     fan_out = make_fan_out()
-    first = calls_of(fan_out.handle(Begin(0.0)))
+    first = calls_of(fan_out.handle(QueryStarted(0.0)))
     hedges = calls_of(fan_out.handle(TimerFired(61.0)))
     assert len(hedges) == 4
     assert not calls_of(fan_out.handle(failed(62.0, first[0], ANSWER_CUT)))
@@ -195,7 +199,7 @@
 def test_completion_time(n_answered, now_ms, reason):
     """An answer must not wait long for stragglers, nor end early below its floor."""
     fan_out = make_fan_out()
-    for call in calls_of(fan_out.handle(Begin(0.0)))[:n_answered]:
+    for call in calls_of(fan_out.handle(QueryStarted(0.0)))[:n_answered]:
         fan_out.handle(answered(min(10.0, now_ms), call))
     fan_out.handle(TimerFired(now_ms))
     settled = [x.values[0] for x in fan_out.decisions if x.event.name == "SETTLED"]
@@ -205,7 +209,7 @@
 def test_request_that_cannot_reach_its_floor_fails_at_once():
     """A late failure would leave the caller no time to repeat the request."""
     fan_out = make_fan_out(n_replicas=1)
-    calls = calls_of(fan_out.handle(Begin(0.0)))
+    calls = calls_of(fan_out.handle(QueryStarted(0.0)))
     actions = []
     for call in calls[:2]:
         for _ in range(6):
@@ -235,7 +239,7 @@
 def test_failed_forward(repeatable, ending, status, run):
     """A replica's error is passed on; "not run" is reported only if proven."""
     fan_out = make_fan_out("forward", repeatable=repeatable)
-    pending = calls_of(fan_out.handle(Begin(0.0)))
+    pending = calls_of(fan_out.handle(QueryStarted(0.0)))
     actions, n_calls, now_ms = [], 0, 1.0
     while not fan_out.is_complete:
         if pending:
@@ -254,6 +258,6 @@
     completion = completion_of(actions)
     assert (None if completion.reply is None else completion.reply.status) == status
     if run is not None:
-        assert completion.run is run
+        assert completion.run_state is run
     if not repeatable and ending is not SHED_BY_UPSTREAM:
         assert n_calls == 1
--- a/chestnuthall/core/fanout/tests/test_shard_sets.py
+++ b/chestnuthall/core/fanout/tests/test_shard_sets.py
@@ -8,7 +8,13 @@
 
 import pytest
 
-from chestnuthall.core.fanout import Begin, CallAnswered, CallFailed, FanOut, TimerFired
+from chestnuthall.core.fanout import (
+    CallAnswered,
+    CallFailed,
+    FanOut,
+    QueryStarted,
+    TimerFired,
+)
 from chestnuthall.core.fanout.tests.test_relayed import (
     FLOOR,
     SOFT_DEADLINE_MS,
@@ -32,7 +38,7 @@
 PEERS = tuple(Replica(f"p{i}", f"peer.{i}", "other") for i in range(3))
 
 
-def bundle(shards):
+def combine_shards(shards):
     members = tuple(shards[:N_MEMBERS])
     joined = Shard("set", KeyRange("", ""), N_MEMBERS, PEERS, members)
     return (joined, *shards[N_MEMBERS:])
@@ -40,13 +46,13 @@
 
 def make_fan_out_with_set():
     fan_out = make_fan_out(n_shards=N_SHARDS)
-    context = replace(fan_out.context, bundle=bundle)
+    context = replace(fan_out.context, combine_shards=combine_shards)
     return FanOut(fan_out.request, fan_out.partition_map, context)
 
 
 def begin(fan_out):
     """Return the call of the set and those of the single shards."""
-    calls = calls_of(fan_out.handle(Begin(0.0)))
+    calls = calls_of(fan_out.handle(QueryStarted(0.0)))
     sets = [call for call in calls if call.shard_set is not None]
     return sets[0], [call for call in calls if call.shard_set is None]
 
@@ -92,7 +98,7 @@
     assert (done.failure is None) == is_answer
     assert done.coverage.n_shards_covered == n_covered
     assert done.coverage.n_shards_total == N_SHARDS
-    assert len(done.parts) == N_SHARDS - N_MEMBERS + 1
+    assert len(done.shard_replies) == N_SHARDS - N_MEMBERS + 1
 
 
 # (case, failure of the call to the peer, target of the next calls)
@@ -111,14 +117,14 @@
     """A peer may have called replicas, which count towards the replica limit."""
     fan_out = make_fan_out_with_set()
     call, single = begin(fan_out)
-    actions = fan_out.handle(CallFailed(5.0, call.call_id, kind.because("test")))
+    actions = fan_out.handle(CallFailed(5.0, call.call_id, kind.with_reason("test")))
     actions += fan_out.handle(TimerFired(8.0))
     again = calls_of(actions)
     if expected == "none":
         assert again == []
         done = answer_all(fan_out, single, 20.0) or completion_of(actions)
         assert done.failure.kind is COVERAGE_BELOW_FLOOR
-        assert done.run is not RunState.NO
+        assert done.run_state is not RunState.NO
     else:
         assert [item.shard_set for item in again] == [call.shard_set]
         assert again[0].replica != call.replica
@@ -128,7 +134,7 @@
 def test_set_that_no_peer_accepts_is_expanded():
     fan_out = make_fan_out_with_set()
     call, single = begin(fan_out)
-    refused = CONNECTION_REFUSED.because("test")
+    refused = CONNECTION_REFUSED.with_reason("test")
     (second,) = calls_of(fan_out.handle(CallFailed(1.0, call.call_id, refused)))
     members = calls_of(fan_out.handle(CallFailed(2.0, second.call_id, refused)))
     assert [item.shard_id for item in members] == ["s0", "s1", "s2"]
@@ -143,13 +149,13 @@
     def __init__(self):
         self.earned = []
 
-    def earn(self, shard_ids, utilisation_ratio, now_ms):
+    def record_calls(self, shard_ids, utilisation_ratio, now_ms):
         self.earned += shard_ids
 
-    def try_take_retry(self, shard_id, now_ms, may_overdraw=False):
+    def try_acquire_retry(self, shard_id, now_ms, may_overdraw=False):
         return True
 
-    def try_take_hedge(self, shard_id, now_ms, lateness_ratio):
+    def try_acquire_hedge(self, shard_id, now_ms, lateness_ratio):
         return False
 
 
@@ -161,7 +167,7 @@
     call, _ = begin(fan_out)
     singles = [f"s{i}" for i in range(N_MEMBERS, N_SHARDS)]
     assert budget.earned == singles
-    refused = CONNECTION_REFUSED.because("test")
+    refused = CONNECTION_REFUSED.with_reason("test")
     (second,) = calls_of(fan_out.handle(CallFailed(1.0, call.call_id, refused)))
     fan_out.handle(CallFailed(2.0, second.call_id, refused))
     assert budget.earned == [*singles, "s0", "s1", "s2"]
@@ -176,9 +182,9 @@
     assert all(item.shard_set is None for item in hedges)
 
 
-def test_suspected_request_is_not_bundled():
+def test_suspected_request_is_not_combined():
     fan_out = make_fan_out_with_set()
     replica = fan_out.partition_map.shards[0].replicas[0]
     fan_out.context.quarantine.record_loss("f", replica, "s0", 0.0, 0.0)
-    fan_out.handle(Begin(1.0))
-    assert all(not item.shard.members for item in fan_out.shards.values())
+    fan_out.handle(QueryStarted(1.0))
+    assert all(not item.shard.shards for item in fan_out.shards.values())
--- a/chestnuthall/core/fanout/tests/test_stragglers.py
+++ b/chestnuthall/core/fanout/tests/test_stragglers.py
@@ -9,13 +9,13 @@
 import pytest
 
 from chestnuthall.core.fanout import (
-    Begin,
     CallAnswered,
     CallFailed,
     Cancel,
     MapReplaced,
+    PeersNotified,
+    QueryStarted,
     TimerFired,
-    Warned,
 )
 from chestnuthall.core.fanout.tests.test_machine import (
     DEADLINE_MS,
@@ -34,7 +34,7 @@
 def begin(n_shards=1, n_replicas=3, credit=5.0, **options):
     fan_out = make_fan_out(partition_map=make_map(n_shards, n_replicas), **options)
     fan_out.context.budget._credit = credit
-    return fan_out, calls_of(fan_out.handle(Begin(0.0)))
+    return fan_out, calls_of(fan_out.handle(QueryStarted(0.0)))
 
 
 def occupy(router, replicas, n_calls):
@@ -73,7 +73,7 @@
 def test_suspected_request_is_not_hedged():
     """A suspected request must not run on a second replica without notice to peers."""
     fan_out, (first, _) = begin(n_shards=2)
-    lost = CONNECTION_LOST.because("x")
+    lost = CONNECTION_LOST.with_reason("x")
     assert calls_of(fan_out.handle(CallFailed(1.0, first.call_id, lost))) == []
     assert calls_of(fan_out.handle(TimerFired(HEDGE_DELAY_MS))) == []
 
@@ -81,8 +81,8 @@
 @pytest.mark.parametrize(
     ("failure", "n_retried"),
     [
-        pytest.param(NO_REPLICA.because("x"), 1, id="nothing-written"),
-        pytest.param(SNAPSHOT_GONE.because("x"), 1, id="snapshot-refused"),
+        pytest.param(NO_REPLICA.with_reason("x"), 1, id="nothing-written"),
+        pytest.param(SNAPSHOT_GONE.with_reason("x"), 1, id="snapshot-refused"),
     ],
 )
 def test_retry_without_upstream_work_needs_no_credit(failure, n_retried):
@@ -96,7 +96,7 @@
     """A slow search for another map must not delay a query past its deadline."""
     fan_out, (first, second) = begin(n_shards=2, n_replicas=1)
     fan_out.handle(CallAnswered(1.0, first.call_id, answer_to(first)))
-    unavailable = SNAPSHOT_GONE.because("swapped")
+    unavailable = SNAPSHOT_GONE.with_reason("swapped")
     fan_out.handle(CallFailed(2.0, second.call_id, unavailable))
     completion = completion_of(fan_out.handle(TimerFired(DEADLINE_MS)))
     assert completion.coverage.n_documents_covered == 100
@@ -117,12 +117,14 @@
     fan_out, (first, second, third) = begin(n_shards=3, n_replicas=1, floor=0.5)
     for call in (first, second):
         fan_out.handle(CallAnswered(1.0, call.call_id, answer_to(call)))
-    unavailable = SNAPSHOT_GONE.because("swapped")
+    unavailable = SNAPSHOT_GONE.with_reason("swapped")
     fan_out.handle(CallFailed(2.0, third.call_id, unavailable))
     new_map = make_map(3, 1, snapshot_id=2)
     if not is_loaded:
         for shard in new_map.shards:
-            fan_out.context.router.state_of(shard.replicas[0].name).note_missing(2, 2.0)
+            fan_out.context.router.state_of(
+                shard.replicas[0].name
+            ).record_missing_snapshot(2, 2.0)
     actions = fan_out.handle(MapReplaced(now_ms, new_map))
     assert len(calls_of(actions)) == n_replanned
     completion = completion_of(actions)
@@ -144,7 +146,7 @@
     router = fan_out.context.router
     # The last replica is busier, so only its zone can be the reason to choose it.
     occupy(router, replicas[2:], 2)
-    (call,) = calls_of(fan_out.handle(Begin(0.0)))
-    fan_out.handle(CallFailed(1.0, call.call_id, CONNECTION_LOST.because("x")))
-    (probe,) = calls_of(fan_out.handle(Warned(2.0)))
+    (call,) = calls_of(fan_out.handle(QueryStarted(0.0)))
+    fan_out.handle(CallFailed(1.0, call.call_id, CONNECTION_LOST.with_reason("x")))
+    (probe,) = calls_of(fan_out.handle(PeersNotified(2.0)))
     assert probe.replica.name == replicas[2].name
--- a/chestnuthall/core/membership/_machine.py
+++ b/chestnuthall/core/membership/_machine.py
@@ -6,25 +6,25 @@
 
 from chestnuthall.core.membership._dissemination import DisseminationQueue
 from chestnuthall.core.membership._events import (
-    AddressTaken,
+    AddressReused,
     CountsChanged,
+    DigestReceived,
+    IndirectProbe,
+    InstanceListRead,
     LeaveAnnounced,
     LeaveFinished,
-    ListRead,
     MembershipAction,
     MembershipEvent,
-    NewsReceived,
     Probe,
     ProbeAnswered,
     ProbeFailed,
-    ProbeThrough,
     Superseded,
     Tick,
 )
-from chestnuthall.core.membership._news import (
+from chestnuthall.core.membership._records import (
     FleetCounts,
     ListedInstance,
-    MemberNews,
+    MemberRecord,
     MemberState,
     replaces,
 )
@@ -54,7 +54,7 @@
     """
 
     def __init__(
-        self, own: MemberNews, settings: MembershipSettings, random: Random
+        self, own: MemberRecord, settings: MembershipSettings, random: Random
     ) -> None:
         self._own = own
         self._settings = settings
@@ -75,7 +75,7 @@
         self._actions: list[MembershipAction] = []
 
     @property
-    def own(self) -> MemberNews:
+    def own(self) -> MemberRecord:
         """The record of this instance, as sent to its peers."""
         return self._own
 
@@ -84,11 +84,11 @@
         """The fleet counts after the last event."""
         return self._counts
 
-    def members(self) -> list[MemberNews]:
+    def members(self) -> list[MemberRecord]:
         """Return the records of the other instances, without dead ones."""
         return [member.record for member in self._table.active()]
 
-    def record_of(self, name: str) -> MemberNews | None:
+    def record_of(self, name: str) -> MemberRecord | None:
         """Return the record of another instance, dead or not, or None."""
         member = self._table.get(name)
         return None if member is None else member.record
@@ -168,14 +168,14 @@
             self._handle_unanswered_probe(member, event.now_ms)
 
     @_handle_event.register
-    def _(self, event: NewsReceived) -> None:
+    def _(self, event: DigestReceived) -> None:
         self._record_contact(event.now_ms)
         self._merge(event.sender, event.now_ms)
         for update in event.updates:
             self._merge(update, event.now_ms)
 
     @_handle_event.register
-    def _(self, event: AddressTaken) -> None:
+    def _(self, event: AddressReused) -> None:
         probe = self._probes.pop(event.probe_id, None)
         self._record_contact(event.now_ms)
         member = None if probe is None else self._table.get(probe.name)
@@ -185,7 +185,7 @@
             self._disseminate(self._set_state(member, MemberState.DEAD, event.now_ms))
 
     @_handle_event.register
-    def _(self, event: ListRead) -> None:
+    def _(self, event: InstanceListRead) -> None:
         listed = {item.name: item for item in event.listed}
         listed.pop(self._own.name, None)
         for member in list(self._table):
@@ -216,7 +216,7 @@
     def _merge_listed(self, item: ListedInstance) -> None:
         member = self._table.get(item.name)
         if member is None:
-            record = MemberNews(
+            record = MemberRecord(
                 item.name, item.address, item.zone, MemberState.ALIVE, 0
             )
             member = Member(record)
@@ -261,7 +261,7 @@
         probe.n_indirect = len(helpers)
         for helper in helpers:
             self._actions.append(
-                ProbeThrough(probe_id, helper.record.address, member.record.address)
+                IndirectProbe(probe_id, helper.record.address, member.record.address)
             )
         return bool(helpers)
 
@@ -334,7 +334,9 @@
         self._apply_update(member, replace(member.record, state=state), now_ms)
         return member
 
-    def _apply_update(self, member: Member, record: MemberNews, now_ms: float) -> None:
+    def _apply_update(
+        self, member: Member, record: MemberRecord, now_ms: float
+    ) -> None:
         member.record = record
         member.n_join_failures = 0
         self._suspects.discard(record.name)
@@ -351,7 +353,7 @@
         if member.record.incarnation > 0:
             self._dissemination.add(member.record.name)
 
-    def _merge(self, update: MemberNews, now_ms: float) -> None:
+    def _merge(self, update: MemberRecord, now_ms: float) -> None:
         if update.name == self._own.name:
             self._merge_own_update(update, now_ms)
             return
@@ -366,7 +368,7 @@
         self._apply_update(member, update, now_ms)
         self._disseminate(member)
 
-    def _merge_own_update(self, update: MemberNews, now_ms: float) -> None:
+    def _merge_own_update(self, update: MemberRecord, now_ms: float) -> None:
         if not replaces(update, self._own) or self._has_left:
             return
         assert self._started_ms is not None
@@ -382,7 +384,7 @@
             return
         self._own = replace(self._own, incarnation=update.incarnation + 1)
 
-    def take_news(self, recipient_name: str = "") -> list[MemberNews]:
+    def select_updates(self, recipient_name: str = "") -> list[MemberRecord]:
         """Return the records for one message and count their transmissions.
 
         The own record comes first. A record of the recipient that is not alive
--- a/chestnuthall/core/membership/_news.py
+++ b/chestnuthall/core/membership/_records.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MemberNews:
+class MemberRecord:
     """Record of one instance in one of its incarnations.
 
     Only the instance itself raises its incarnation. Incarnation 0 stands for
@@ -36,13 +36,13 @@
     incarnation: int
 
 
-def replaces(offered: MemberNews, current: MemberNews) -> bool:
+def replaces(offered: MemberRecord, current: MemberRecord) -> bool:
     """Return whether an offered record of an instance replaces the current one.
 
     Examples
     --------
-    >>> alive = MemberNews("a", "127.0.0.1:1", "z", MemberState.ALIVE, 4)
-    >>> suspect = MemberNews("a", "127.0.0.1:1", "z", MemberState.SUSPECT, 4)
+    >>> alive = MemberRecord("a", "127.0.0.1:1", "z", MemberState.ALIVE, 4)
+    >>> suspect = MemberRecord("a", "127.0.0.1:1", "z", MemberState.SUSPECT, 4)
     >>> replaces(suspect, alive), replaces(alive, suspect)
     (True, False)
     """
--- a/chestnuthall/core/membership/_table.py
+++ b/chestnuthall/core/membership/_table.py
@@ -6,7 +6,7 @@
 from enum import Enum
 from random import Random
 
-from chestnuthall.core.membership._news import FleetCounts, MemberNews, MemberState
+from chestnuthall.core.membership._records import FleetCounts, MemberRecord, MemberState
 
 
 class MemberCategory(Enum):
@@ -28,7 +28,7 @@
     list.
     """
 
-    record: MemberNews
+    record: MemberRecord
     is_listed: bool = False
     leaving_incarnation: int | None = None
     listed_address: str = ""
--- a/chestnuthall/core/membership/tests/test_machine.py
+++ b/chestnuthall/core/membership/tests/test_machine.py
@@ -10,11 +10,11 @@
 import pytest
 
 from chestnuthall.core.membership import (
-    MemberNews,
+    DigestReceived,
+    MemberRecord,
     MembershipMachine,
     MembershipSettings,
     MemberState,
-    NewsReceived,
     Probe,
     ProbeFailed,
     Tick,
@@ -24,7 +24,7 @@
 
 
 def _record(index, state=MemberState.ALIVE, incarnation=1):
-    return MemberNews(f"entry-{index}", f"10.0.0.{index}:1", "z", state, incarnation)
+    return MemberRecord(f"entry-{index}", f"10.0.0.{index}:1", "z", state, incarnation)
 
 
 @pytest.mark.parametrize("n_members", [3, 50, 1_900])
@@ -32,8 +32,8 @@
     """A burst of updates must not enlarge messages, and must stop being sent."""
     machine = MembershipMachine(_record(0), SETTINGS, Random(1))
     updates = tuple(_record(index) for index in range(2, n_members))
-    machine.handle(NewsReceived(0.0, _record(1), updates))
-    sizes = [len(machine.take_news("entry-1")) for _ in range(20 * n_members)]
+    machine.handle(DigestReceived(0.0, _record(1), updates))
+    sizes = [len(machine.select_updates("entry-1")) for _ in range(20 * n_members)]
     assert max(sizes) <= SETTINGS.n_updates_max + 3
     # After the burst a message holds the own record and one other in turn.
     assert sizes[-1] == 2
@@ -57,7 +57,7 @@
     machine = MembershipMachine(_record(0), SETTINGS, Random(1))
     for state, incarnation in (current, offered):
         update = _record(2, MemberState(state), incarnation)
-        machine.handle(NewsReceived(0.0, _record(1), (update,)))
+        machine.handle(DigestReceived(0.0, _record(1), (update,)))
     expected = offered if is_replaced else current
     found = machine.record_of("entry-2")
     assert (found.state.value, found.incarnation) == expected
@@ -71,7 +71,7 @@
     assert SETTINGS.interval_ms(n_instances) == pytest.approx(interval_ms, abs=1)
     machine = MembershipMachine(_record(0), SETTINGS, Random(1))
     for index in range(1, n_instances):
-        machine.handle(NewsReceived(0.0, _record(index), ()))
+        machine.handle(DigestReceived(0.0, _record(index), ()))
     n_probes = sum(len(machine.handle(Tick(step * 100.0))) for step in range(200))
     assert 20_000 / interval_ms <= n_probes <= 20_000 / interval_ms / 0.85 + 1
 
@@ -83,7 +83,7 @@
 def test_probe_failure_after_a_pause_is_ignored(pause_ms, is_suspect_expected):
     """A probe that timed out during a pause must not raise a suspicion."""
     machine = MembershipMachine(_record(0), SETTINGS, Random(1))
-    machine.handle(NewsReceived(0.0, _record(1), ()))
+    machine.handle(DigestReceived(0.0, _record(1), ()))
     (probe,) = machine.handle(Tick(0.0))
     assert isinstance(probe, Probe)
     machine.handle(ProbeFailed(pause_ms, probe.probe_id))
@@ -95,7 +95,7 @@
     """A suspected instance must keep its time to refute across a pause."""
     machine = MembershipMachine(_record(0), SETTINGS, Random(1))
     suspect = _record(2, MemberState.SUSPECT)
-    machine.handle(NewsReceived(0.0, _record(1), (suspect,)))
+    machine.handle(DigestReceived(0.0, _record(1), (suspect,)))
     for now_ms in (0.0, 30_000.0, 30_100.0, 31_000.0, 31_100.0, 31_200.0):
         machine.handle(Tick(now_ms))
     assert machine.record_of("entry-2").state is MemberState.SUSPECT
--- a/chestnuthall/core/model/_answers.py
+++ b/chestnuthall/core/model/_answers.py
@@ -5,7 +5,7 @@
 from chestnuthall.core.model._accounts import Account
 from chestnuthall.core.model._partition_map import KeyRange, Replica
 from chestnuthall.core.model._requests import Request
-from chestnuthall.core.results import Failure, Repeat, ResultCode, RunState
+from chestnuthall.core.results import Failure, ResultCode, RetryAdvice, RunState
 
 
 @dataclass(frozen=True, slots=True)
@@ -112,8 +112,8 @@
 class Answer:
     """A successful answer to a caller.
 
-    For a relayed request, ``reply`` is the response to the caller, and ``parts``
-    are the replies of the replicas from which it was merged.
+    For a relayed request, ``reply`` is the response to the caller, and
+    ``replica_replies`` are the replies of the replicas from which it was merged.
     """
 
     request_id: str
@@ -124,22 +124,22 @@
     configuration_revision: int
     account: Account
     reply: Reply | None = None
-    parts: tuple[Reply, ...] = ()
+    replica_replies: tuple[Reply, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
     """A request that ends without an answer.
 
-    ``run`` and ``repeat`` apply to this request and may be more specific than
+    ``run_state`` and ``repeat`` apply to this request and may be more specific than
     those of the failure's kind. ``reply`` is the replica's own error response,
     which is forwarded to the caller of a relayed request.
     """
 
     request_id: str
     failure: Failure
-    run: RunState
-    repeat: Repeat
+    run_state: RunState
+    repeat: RetryAdvice
     configuration_revision: int
     account: Account
     retry_after_ms: float | None = None
--- a/chestnuthall/core/model/_partition_map.py
+++ b/chestnuthall/core/model/_partition_map.py
@@ -46,7 +46,7 @@
 class Shard:
     """One shard of an index with the replicas that serve it.
 
-    A set of shards is represented as a shard with ``members``; its replicas are
+    A set of shards is represented as a shard with ``shards``; its replicas are
     peer instances that search all of the members.
     """
 
@@ -54,7 +54,7 @@
     key_range: KeyRange
     n_documents: int
     replicas: tuple[Replica, ...]
-    members: tuple["Shard", ...] = ()
+    shards: tuple["Shard", ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
--- a/chestnuthall/core/model/_routes.py
+++ b/chestnuthall/core/model/_routes.py
@@ -82,7 +82,7 @@
         return None
 
 
-class WeightedSplit:
+class WeightedRoundRobin:
     """Distributes requests over targets in proportion to their weights.
 
     The algorithm is smooth weighted round robin: for each request, every target
@@ -91,7 +91,7 @@
 
     Examples
     --------
-    >>> split = WeightedSplit((Target("a", 3.0), Target("b", 1.0)))
+    >>> split = WeightedRoundRobin((Target("a", 3.0), Target("b", 1.0)))
     >>> [split.next().group for _ in range(4)]
     ['a', 'a', 'b', 'a']
     """
--- a/chestnuthall/core/quarantine/_register.py
+++ b/chestnuthall/core/quarantine/_registry.py
@@ -54,10 +54,10 @@
     fingerprint: str
     expires_ms: float
     replica_names: set[str] = field(default_factory=set)
-    lost_zones: set[str] = field(default_factory=set)
+    zones_with_losses: set[str] = field(default_factory=set)
     loss_zone_by_shard: dict[str, str] = field(default_factory=dict)
     is_quarantined: bool = False
-    is_own: bool = True
+    is_local: bool = True
     probe_owner: str = ""
     probe_reserved_until_ms: float = float("-inf")
 
@@ -66,13 +66,13 @@
 class _Clearance:
     cleared_ms: float
     n_cleared: int
-    is_own: bool
+    is_local: bool
 
 
 Listener = Callable[[str, SuspicionState, bool], None]
 
 
-class QuarantineRegister:
+class QuarantineRegistry:
     """Registry of suspected, cleared and quarantined requests."""
 
     def __init__(self, settings: QuarantineSettings) -> None:
@@ -89,9 +89,9 @@
         """
         self._listeners.append(listener)
 
-    def _notify(self, fingerprint: str, state: SuspicionState, is_own: bool) -> None:
+    def _notify(self, fingerprint: str, state: SuspicionState, is_local: bool) -> None:
         for listener in self._listeners:
-            listener(fingerprint, state, is_own)
+            listener(fingerprint, state, is_local)
 
     def record_loss(
         self,
@@ -114,12 +114,12 @@
             if cleared is not None and started_ms < cleared.cleared_ms:
                 return
             suspicion = self._add_suspicion(
-                fingerprint, replica.name, now_ms, is_own=True
+                fingerprint, replica.name, now_ms, is_local=True
             )
             self._record_location(suspicion, replica, shard_id)
             if self._n_cleared(fingerprint, now_ms) >= N_CLEARED_MAX:
                 suspicion.replica_names.add("")
-                self._quarantine(suspicion, is_own=True)
+                self._quarantine(suspicion, is_local=True)
             else:
                 self._notify(fingerprint, SuspicionState.SUSPECTED, True)
             return
@@ -130,32 +130,32 @@
             return
         suspicion.replica_names.add(replica.name)
         if len(suspicion.replica_names) >= self._settings.n_replicas_lost_max:
-            self._quarantine(suspicion, is_own=True)
+            self._quarantine(suspicion, is_local=True)
 
     def _record_location(
         self, suspicion: Suspicion, replica: Replica, shard_id: str
     ) -> None:
-        suspicion.lost_zones.add(replica.zone)
+        suspicion.zones_with_losses.add(replica.zone)
         suspicion.loss_zone_by_shard.setdefault(shard_id, replica.zone)
 
     def _add_suspicion(
-        self, fingerprint: str, replica_name: str, now_ms: float, is_own: bool
+        self, fingerprint: str, replica_name: str, now_ms: float, is_local: bool
     ) -> Suspicion:
         self._remove_expired(now_ms)
         suspicion = Suspicion(
             fingerprint,
             now_ms + self._settings.quarantine_ms,
             {replica_name},
-            is_own=is_own,
+            is_local=is_local,
         )
         self._suspicions[fingerprint] = suspicion
         return suspicion
 
-    def _quarantine(self, suspicion: Suspicion, is_own: bool) -> None:
+    def _quarantine(self, suspicion: Suspicion, is_local: bool) -> None:
         if suspicion.is_quarantined:
             return
         suspicion.is_quarantined = True
-        self._notify(suspicion.fingerprint, SuspicionState.QUARANTINED, is_own)
+        self._notify(suspicion.fingerprint, SuspicionState.QUARANTINED, is_local)
 
     def merge(
         self,
@@ -172,19 +172,19 @@
         """
         names = set(replica_names)
         if expires_ms <= now_ms:
-            self._clear(fingerprint, now_ms, is_own=False)
+            self._clear(fingerprint, now_ms, is_local=False)
             return
         suspicion = self._find_unexpired(fingerprint, now_ms)
         if len(names) >= self._settings.n_replicas_lost_max:
             if suspicion is None:
-                suspicion = self._add_suspicion(fingerprint, "", now_ms, is_own=False)
+                suspicion = self._add_suspicion(fingerprint, "", now_ms, is_local=False)
                 suspicion.replica_names.clear()
             suspicion.replica_names.update(names)
             suspicion.expires_ms = max(suspicion.expires_ms, expires_ms)
-            self._quarantine(suspicion, is_own=False)
+            self._quarantine(suspicion, is_local=False)
         elif suspicion is None and not self._n_cleared(fingerprint, now_ms):
             suspicion = self._add_suspicion(
-                fingerprint, next(iter(names), ""), now_ms, is_own=False
+                fingerprint, next(iter(names), ""), now_ms, is_local=False
             )
             suspicion.expires_ms = expires_ms
             suspicion.probe_owner = "peer"
@@ -208,12 +208,16 @@
         """Return whether a request is suspected or quarantined."""
         return self._find_unexpired(fingerprint, now_ms) is not None
 
-    def lost_zones(self, fingerprint: str, now_ms: float) -> frozenset[str]:
+    def zones_with_losses(self, fingerprint: str, now_ms: float) -> frozenset[str]:
         """Return the zones in which runs of a suspected request lost replicas."""
         suspicion = self._find_unexpired(fingerprint, now_ms)
-        return frozenset() if suspicion is None else frozenset(suspicion.lost_zones)
+        return (
+            frozenset() if suspicion is None else frozenset(suspicion.zones_with_losses)
+        )
 
-    def try_hold(self, fingerprint: str, probe_owner: str, now_ms: float) -> bool:
+    def try_reserve_probe(
+        self, fingerprint: str, probe_owner: str, now_ms: float
+    ) -> bool:
         """Reserve the probe of a suspected request; return whether that succeeded."""
         suspicion = self._find_unexpired(fingerprint, now_ms)
         if suspicion is None or suspicion.is_quarantined:
@@ -224,16 +228,16 @@
         ):
             return False
         suspicion.probe_owner = probe_owner
-        suspicion.is_own = True
+        suspicion.is_local = True
         suspicion.probe_reserved_until_ms = now_ms + self._settings.probe_reservation_ms
         return True
 
-    def held_until_ms(self, fingerprint: str) -> float:
+    def probe_reserved_until_ms(self, fingerprint: str) -> float:
         """Return the time at which the reservation of a probe expires."""
         suspicion = self._suspicions.get(fingerprint)
         return float("-inf") if suspicion is None else suspicion.probe_reserved_until_ms
 
-    def release_hold(self, fingerprint: str, probe_owner: str, now_ms: float) -> None:
+    def release_probe(self, fingerprint: str, probe_owner: str, now_ms: float) -> None:
         """Release the reservation of a probe, so that another query can run it."""
         suspicion = self._suspicions.get(fingerprint)
         if suspicion is not None and suspicion.probe_owner == probe_owner:
@@ -241,16 +245,16 @@
 
     def clear(self, fingerprint: str, now_ms: float) -> None:
         """Clear a suspected request whose probe was answered."""
-        self._clear(fingerprint, now_ms, is_own=True)
+        self._clear(fingerprint, now_ms, is_local=True)
 
-    def _clear(self, fingerprint: str, now_ms: float, is_own: bool) -> None:
+    def _clear(self, fingerprint: str, now_ms: float, is_local: bool) -> None:
         suspicion = self._find_unexpired(fingerprint, now_ms)
         if suspicion is None or suspicion.is_quarantined:
             return
         del self._suspicions[fingerprint]
         n_cleared = self._n_cleared(fingerprint, now_ms) + 1
-        self._cleared[fingerprint] = _Clearance(now_ms, n_cleared, is_own)
-        self._notify(fingerprint, SuspicionState.CLEARED, is_own)
+        self._cleared[fingerprint] = _Clearance(now_ms, n_cleared, is_local)
+        self._notify(fingerprint, SuspicionState.CLEARED, is_local)
 
     def _n_cleared(self, fingerprint: str, now_ms: float) -> int:
         cleared = self._cleared.get(fingerprint)
@@ -276,12 +280,12 @@
         notices = [
             item
             for item in self.suspicions(now_ms)
-            if item.is_own or item.is_quarantined
+            if item.is_local or item.is_quarantined
         ]
         notices += [
             Suspicion(fingerprint, now_ms, {""})
             for fingerprint, cleared in self._cleared.items()
-            if cleared.is_own and fingerprint not in self._suspicions
+            if cleared.is_local and fingerprint not in self._suspicions
         ]
         return tuple(notices)
 
--- a/chestnuthall/core/quarantine/tests/test_register.py
+++ b/chestnuthall/core/quarantine/tests/test_registry.py
@@ -7,7 +7,7 @@
 import pytest
 
 from chestnuthall.core.model import Replica
-from chestnuthall.core.quarantine import QuarantineRegister, QuarantineSettings
+from chestnuthall.core.quarantine import QuarantineRegistry, QuarantineSettings
 
 
 def lose_replica(registry, number, started_ms, now_ms, **options):
@@ -17,7 +17,7 @@
 
 def test_losses_of_a_cleared_wave_are_not_counted_again():
     """Connections that a failing zone closes one by one must not add up."""
-    registry = QuarantineRegister(QuarantineSettings())
+    registry = QuarantineRegistry(QuarantineSettings())
     lose_replica(registry, 0, 0.0, 10.0)
     registry.clear("f", 20.0)
     for number in range(1, 6):
@@ -29,7 +29,7 @@
 
 def test_request_that_crashes_only_some_runs_is_quarantined():
     """A request that crashes only some runs must not be cleared indefinitely."""
-    registry = QuarantineRegister(QuarantineSettings())
+    registry = QuarantineRegistry(QuarantineSettings())
     for number in range(2):
         lose_replica(registry, number, 100.0 * number, 100.0 * number + 1.0)
         registry.clear("f", 100.0 * number + 50.0)
@@ -47,17 +47,17 @@
 )
 def test_merge_of_a_peer_notice(names, expires_ms, is_suspected, is_quarantined):
     """A peer's suspicion must not count as a quarantine, nor add up to one."""
-    registry = QuarantineRegister(QuarantineSettings())
+    registry = QuarantineRegistry(QuarantineSettings())
     registry.merge("f", ("r7",), 99.0, 9.0)
     registry.merge("f", names, expires_ms, 10.0)
     assert registry.is_suspected("f", 11.0) == is_suspected
     assert registry.is_quarantined("f", 11.0) == is_quarantined
-    assert not registry.try_hold("f", "other", 11.0)
+    assert not registry.try_reserve_probe("f", "other", 11.0)
 
 
 def test_quarantine_expires():
     """A quarantined request must be admitted again after the quarantine time."""
-    registry = QuarantineRegister(QuarantineSettings(quarantine_ms=100.0))
+    registry = QuarantineRegistry(QuarantineSettings(quarantine_ms=100.0))
     lose_replica(registry, 0, 0.0, 10.0)
     lose_replica(registry, 1, 11.0, 20.0, is_probe=True)
     assert registry.is_quarantined("f", 21.0)
--- a/chestnuthall/core/registry/tests/test_register.py
+++ b/chestnuthall/core/registry/tests/test_registry.py
@@ -7,8 +7,8 @@
 import pytest
 
 from chestnuthall.core.model import Replica
-from chestnuthall.core.registry import ChangeKind, Registration, ReplicaRegister
-from chestnuthall.core.registry._register import DRAINING_FALLBACK_MS
+from chestnuthall.core.registry import Registration, ReplicaChangeKind, ReplicaRegistry
+from chestnuthall.core.registry._registry import DRAINING_FALLBACK_MS
 
 GRACE_PERIOD_MS = 2_000.0
 
@@ -20,7 +20,7 @@
 
 def run(steps):
     """Apply steps of (time, method, argument); return registry and kinds of change."""
-    registry = ReplicaRegister(GRACE_PERIOD_MS)
+    registry = ReplicaRegistry(GRACE_PERIOD_MS)
     changes = []
     for now_ms, method_name, argument in steps:
         if method_name == "expire":
@@ -30,15 +30,15 @@
     return registry, [change.kind for change in changes]
 
 
-SEEN, GONE = ChangeKind.SEEN, ChangeKind.GONE
-MISSING, RESTORED = ChangeKind.MISSING, ChangeKind.RESTORED
+ADDED, REMOVED = ReplicaChangeKind.ADDED, ReplicaChangeKind.REMOVED
+MISSING, RESTORED = ReplicaChangeKind.MISSING, ReplicaChangeKind.RESTORED
 # (case, steps, kinds of change, names of the replicas in use, time of the check)
 CASES = [
-    ("seen", [(0, "put", entry("a"))], [SEEN], {"a"}, 0),
+    ("seen", [(0, "put", entry("a"))], [ADDED], {"a"}, 0),
     (
         "registered twice",
         [(0, "put", entry("a")), (1, "put", entry("a"))],
-        [SEEN],
+        [ADDED],
         {"a"},
         1,
     ),
@@ -49,35 +49,39 @@
             (0, "put", entry("b")),
             (1, "put", entry("a", draining=True)),
         ],
-        [SEEN, SEEN, ChangeKind.DRAINING],
+        [ADDED, ADDED, ReplicaChangeKind.DRAINING],
         {"b"},
         1,
     ),
     (
         "last replica draining",
         [(0, "put", entry("a")), (1, "put", entry("a", draining=True))],
-        [SEEN, ChangeKind.DRAINING],
+        [ADDED, ReplicaChangeKind.DRAINING],
         {"a"},
         1 + DRAINING_FALLBACK_MS - 1,
     ),
     (
         "last replica draining for too long",
         [(0, "put", entry("a")), (1, "put", entry("a", draining=True))],
-        [SEEN, ChangeKind.DRAINING],
+        [ADDED, ReplicaChangeKind.DRAINING],
         set(),
         1 + DRAINING_FALLBACK_MS,
     ),
     (
         "missing and renewed",
-        [(0, "put", entry("a")), (1, "remove", "a"), (900, "put", entry("a"))],
-        [SEEN, MISSING, RESTORED],
+        [(0, "put", entry("a")), (1, "mark_missing", "a"), (900, "put", entry("a"))],
+        [ADDED, MISSING, RESTORED],
         {"a"},
         900,
     ),
     (
         "missing within the grace period",
-        [(0, "put", entry("a")), (1, "remove", "a"), (GRACE_PERIOD_MS, "expire", None)],
-        [SEEN, MISSING],
+        [
+            (0, "put", entry("a")),
+            (1, "mark_missing", "a"),
+            (GRACE_PERIOD_MS, "expire", None),
+        ],
+        [ADDED, MISSING],
         {"a"},
         GRACE_PERIOD_MS,
     ),
@@ -85,10 +89,10 @@
         "missing after the grace period",
         [
             (0, "put", entry("a")),
-            (1, "remove", "a"),
+            (1, "mark_missing", "a"),
             (1 + GRACE_PERIOD_MS, "expire", None),
         ],
-        [SEEN, MISSING, GONE],
+        [ADDED, MISSING, REMOVED],
         set(),
         1 + GRACE_PERIOD_MS,
     ),
@@ -97,16 +101,16 @@
         [
             (0, "put", entry("a")),
             (1, "put", entry("a", draining=True)),
-            (2, "remove", "a"),
+            (2, "mark_missing", "a"),
         ],
-        [SEEN, ChangeKind.DRAINING, GONE],
+        [ADDED, ReplicaChangeKind.DRAINING, REMOVED],
         set(),
         2,
     ),
     (
         "restarted under the same name",
         [(0, "put", entry("a")), (1, "put", entry("a", incarnation=2))],
-        [SEEN, ChangeKind.RESTARTED],
+        [ADDED, ReplicaChangeKind.RESTARTED],
         {"a"},
         1,
     ),
@@ -116,7 +120,7 @@
             (0, "put", entry("a", incarnation=2)),
             (1, "put", entry("a", incarnation=1, draining=True)),
         ],
-        [SEEN],
+        [ADDED],
         {"a"},
         1,
     ),
@@ -126,7 +130,7 @@
             (0, "put", entry("a", address="x:1")),
             (1, "put", entry("b", incarnation=2, address="x:1", service="t")),
         ],
-        [SEEN, GONE, SEEN],
+        [ADDED, REMOVED, ADDED],
         set(),
         1,
     ),
@@ -138,7 +142,7 @@
             (1, "replace_all", [entry("b")]),
             (1 + GRACE_PERIOD_MS, "expire", None),
         ],
-        [SEEN, SEEN, MISSING, GONE],
+        [ADDED, ADDED, MISSING, REMOVED],
         {"b"},
         1 + GRACE_PERIOD_MS,
     ),
--- a/chestnuthall/core/results/_codes.py
+++ b/chestnuthall/core/results/_codes.py
@@ -65,7 +65,7 @@
     UNKNOWN = "unknown"
 
 
-class Repeat(Enum):
+class RetryAdvice(Enum):
     """Whether a caller may repeat a request after a result.
 
     ``SAFE`` permits a repeat of the same request; ``NEW_KEY`` permits it with a
--- a/chestnuthall/core/routing/_budget.py
+++ b/chestnuthall/core/routing/_budget.py
@@ -23,19 +23,19 @@
 class ExtraLoad(Protocol):
     """Decides whether a shard may be sent another call after the first one."""
 
-    def earn(
+    def record_calls(
         self, shard_ids: Collection[str], utilisation_ratio: float, now_ms: float
     ) -> None:
         """Record the first calls of a query, made at a utilisation."""
         ...
 
-    def try_take_retry(
+    def try_acquire_retry(
         self, shard_id: str, now_ms: float, may_overdraw: bool = False
     ) -> bool:
         """Acquire the credit of one retry; return whether there was enough."""
         ...
 
-    def try_take_hedge(
+    def try_acquire_hedge(
         self, shard_id: str, now_ms: float, lateness_ratio: float
     ) -> bool:
         """Acquire the credit of one hedge; return whether there was enough."""
@@ -69,7 +69,7 @@
         headroom = (policy.none_above_ratio - utilisation_ratio) / span
         return policy.max_ratio * min(1.0, max(0.0, headroom))
 
-    def earn(
+    def record_calls(
         self, shard_ids: Collection[str], utilisation_ratio: float, now_ms: float
     ) -> None:
         """Add the credit for ordinary calls made at a utilisation."""
@@ -77,7 +77,7 @@
         earned = len(shard_ids) * self.allowed_ratio(utilisation_ratio)
         self._credit = min(N_CREDIT_CALLS_MAX, self._credit + earned)
 
-    def try_take_retry(
+    def try_acquire_retry(
         self, shard_id: str, now_ms: float, may_overdraw: bool = False
     ) -> bool:
         """Acquire the credit of one retry; return whether there was enough.
@@ -91,7 +91,7 @@
         self._credit -= 1.0
         return True
 
-    def try_take_hedge(
+    def try_acquire_hedge(
         self, shard_id: str, now_ms: float, lateness_ratio: float
     ) -> bool:
         """Acquire the credit of one hedge; return whether there was enough.
--- a/chestnuthall/core/routing/_connections.py
+++ b/chestnuthall/core/routing/_connections.py
@@ -19,7 +19,7 @@
 N_INSTANCES_ASSUMED = 12
 
 
-class ConnectionShare:
+class ConnectionBudget:
     """Division of the connections to upstreams over the instances.
 
     The number of instances increases immediately and decreases only after the lower
@@ -28,10 +28,10 @@
 
     Examples
     --------
-    >>> share = ConnectionShare(0.0)
-    >>> share.observe(9, 0.0), share.budget(30)
+    >>> budget = ConnectionBudget(0.0)
+    >>> budget.observe(9, 0.0), budget.n_connections(30)
     (12, 2)
-    >>> share.observe(9, 10_001.0), share.budget(30)
+    >>> budget.observe(9, 10_001.0), budget.n_connections(30)
     (9, 3)
     """
 
@@ -52,36 +52,38 @@
         self.n_instances = max(n for _, n in self._observed)
         return self.n_instances
 
-    def kept_ratio(self, n_connections_max: int) -> float:
+    def connected_ratio(self, n_connections_max: int) -> float:
         """Return the fraction of the instances that may keep an idle connection.
 
         Examples
         --------
-        >>> share = ConnectionShare(0.0, 80)
-        >>> share.kept_ratio(40), share.kept_ratio(400)
+        >>> budget = ConnectionBudget(0.0, 80)
+        >>> budget.connected_ratio(40), budget.connected_ratio(400)
         (0.4, 1.0)
         """
         return min(1.0, IDLE_RATIO_MAX * n_connections_max / self.n_instances)
 
-    def budget(self, n_connections_max: int) -> int:
+    def n_connections(self, n_connections_max: int) -> int:
         """Return this instance's budget of an upstream's cap; at least one."""
         return max(1, n_connections_max // (self.n_instances + N_INSTANCES_SPARE))
 
-    def near_budget(self, n_connections_max: int, n_near: int) -> int | None:
+    def n_connections_in_zone(
+        self, n_connections_max: int, n_instances_in_zone: int
+    ) -> int | None:
         """Return this instance's budget for an upstream in its own zone.
 
-        ``n_near`` is the number of instances in the zone. Return None if the equal
-        budget is sufficient, or if even the instances of the zone would get less than
-        one connection each.
+        ``n_instances_in_zone`` is the number of instances in the zone. Return None if
+        the equal budget is sufficient, or if even the instances of the zone would get
+        less than one connection each.
 
         Examples
         --------
-        >>> share = ConnectionShare(0.0, 65)
-        >>> share.near_budget(64, 16), share.near_budget(400, 16)
+        >>> budget = ConnectionBudget(0.0, 65)
+        >>> budget.n_connections_in_zone(64, 16), budget.n_connections_in_zone(400, 16)
         (2, None)
         """
-        if self.budget(n_connections_max) >= N_CONNECTIONS_ENOUGH:
+        if self.n_connections(n_connections_max) >= N_CONNECTIONS_ENOUGH:
             return None
         cap = int(SAME_ZONE_RATIO * n_connections_max)
-        n_each = cap // (n_near + N_INSTANCES_SPARE)
+        n_each = cap // (n_instances_in_zone + N_INSTANCES_SPARE)
         return min(n_each, N_CONNECTIONS_ENOUGH) or None
--- a/chestnuthall/core/routing/_delegation.py
+++ b/chestnuthall/core/routing/_delegation.py
@@ -15,7 +15,7 @@
 PeersInZones = Callable[[frozenset[str]], tuple[Replica, ...]]
 
 
-def bundle_far_shards(
+def combine_remote_shards(
     shards: Sequence[Shard], own_zone: str, peers_in_zones: PeersInZones
 ) -> tuple[Shard, ...]:
     """Combine the shards without a replica in ``own_zone`` into one set for a peer.
@@ -30,7 +30,7 @@
     >>> replicas = (Replica("r", "10.0.0.1:80", "a"),)
     >>> shards = [Shard(f"s{n}", KeyRange("", ""), 1, replicas) for n in range(3)]
     >>> peers = (Replica("p", "10.0.0.2:80", "a"),)
-    >>> [one.shard_id for one in bundle_far_shards(shards, "b", lambda _: peers)]
+    >>> [one.shard_id for one in combine_remote_shards(shards, "b", lambda _: peers)]
     ['s0+2']
     """
     remote = [
@@ -62,5 +62,5 @@
         key_range=KeyRange("", ""),
         n_documents=sum(item.n_documents for item in members),
         replicas=peers,
-        members=tuple(members),
+        shards=tuple(members),
     )
--- a/chestnuthall/core/routing/_replicas.py
+++ b/chestnuthall/core/routing/_replicas.py
@@ -43,7 +43,7 @@
     held_reported_ms: float = float("-inf")
     missing_snapshots: dict[int, float] = field(default_factory=dict)
     drained_until_ms: float = float("-inf")
-    avoided_until_ms: float = float("-inf")
+    ejected_until_ms: float = float("-inf")
     ramp_started_ms: float = float("-inf")
     n_failures_in_row: int = 0
 
@@ -101,7 +101,7 @@
         for snapshot_id in snapshot_ids:
             self.missing_snapshots.pop(snapshot_id, None)
 
-    def note_missing(self, snapshot_id: int, now_ms: float) -> None:
+    def record_missing_snapshot(self, snapshot_id: int, now_ms: float) -> None:
         """Record that the replica refused a call because it lacks the snapshot.
 
         The snapshots that it reported earlier are then out of date, and it may hold
@@ -114,6 +114,6 @@
         """Return whether the replica is draining and gets no new calls."""
         return now_ms < self.drained_until_ms
 
-    def is_avoided(self, now_ms: float) -> bool:
+    def is_ejected(self, now_ms: float) -> bool:
         """Return whether the replica failed recently and is penalised or ejected."""
-        return now_ms < self.avoided_until_ms
+        return now_ms < self.ejected_until_ms
--- a/chestnuthall/core/routing/_repeats.py
+++ b/chestnuthall/core/routing/_service_budget.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class RepeatLimits:
+class ServiceExtraLoadLimits:
     """Allowance of the whole fleet for each service.
 
     In any window of ``window_ms`` a service may get ``n_floor`` repeats plus
@@ -41,7 +41,7 @@
                 times.popleft()
 
 
-class RepeatBudget:
+class ServiceExtraLoadBudget:
     """This instance's quota of the allowance for repeats of each service.
 
     The quota is the ratio of the instance's own requests and an equal fraction of
@@ -50,15 +50,15 @@
 
     Examples
     --------
-    >>> limits = RepeatLimits(ratio=0.2, window_ms=10_000.0, n_floor=0.0)
-    >>> budget = RepeatBudget(limits)
+    >>> limits = ServiceExtraLoadLimits(ratio=0.2, window_ms=10_000.0, n_floor=0.0)
+    >>> budget = ServiceExtraLoadBudget(limits)
     >>> for now_ms in range(10):
-    ...     budget.earn(["a"], 0.0, float(now_ms))
-    >>> [budget.try_take_retry("a", 20.0) for _ in range(3)]
+    ...     budget.record_calls(["a"], 0.0, float(now_ms))
+    >>> [budget.try_acquire_retry("a", 20.0) for _ in range(3)]
     [True, False, False]
     """
 
-    def __init__(self, limits: RepeatLimits) -> None:
+    def __init__(self, limits: ServiceExtraLoadLimits) -> None:
         self._limits = limits
         self._windows: dict[str, _Window] = {}
         self._n_instances: int | None = None
@@ -70,20 +70,20 @@
         """
         self._n_instances = n_instances
 
-    def earn(
+    def record_calls(
         self, shard_ids: Collection[str], utilisation_ratio: float, now_ms: float
     ) -> None:
         """Record the first calls of a query, one for each shard."""
         for shard_id in shard_ids:
             self._window(shard_id, now_ms).requested_ms.append(now_ms)
 
-    def try_take_retry(
+    def try_acquire_retry(
         self, shard_id: str, now_ms: float, may_overdraw: bool = False
     ) -> bool:
         """Count one retry if it is within the allowance; return whether it is."""
         return self._try_acquire(shard_id, now_ms, 1.0)
 
-    def try_take_hedge(
+    def try_acquire_hedge(
         self, shard_id: str, now_ms: float, lateness_ratio: float
     ) -> bool:
         """Count one hedge if it is within the allowance for hedges.
--- a/chestnuthall/core/routing/tests/test_delegation.py
+++ b/chestnuthall/core/routing/tests/test_delegation.py
@@ -7,7 +7,7 @@
 import pytest
 
 from chestnuthall.core.model import KeyRange, Replica, Shard
-from chestnuthall.core.routing import bundle_far_shards
+from chestnuthall.core.routing import combine_remote_shards
 
 
 def make_shards(*zones_of_shards):
@@ -40,7 +40,7 @@
     [case[1:] for case in CASES],
     ids=[case[0] for case in CASES],
 )
-def test_bundle_far_shards(zones, members, peer_zones):
+def test_combine_remote_shards(zones, members, peer_zones):
     """Without replicas in the peer's zone a set would not save traffic."""
     requested_zones = []
 
@@ -49,10 +49,10 @@
         return (Replica("p", "10.0.0.2:80", min(remote_zones)),) if remote_zones else ()
 
     shards = make_shards(*zones)
-    bundled = bundle_far_shards(shards, "x", peers_in_zones)
-    sets = [shard for shard in bundled if shard.members]
-    single = [shard for shard in bundled if not shard.members]
-    assert [m.shard_id for s in sets for m in s.members] == [f"s{i}" for i in members]
+    combined = combine_remote_shards(shards, "x", peers_in_zones)
+    sets = [shard for shard in combined if shard.shards]
+    single = [shard for shard in combined if not shard.shards]
+    assert [m.shard_id for s in sets for m in s.shards] == [f"s{i}" for i in members]
     assert len(single) + len(members) == len(shards)
     if members:
         assert requested_zones == [frozenset(peer_zones)]
@@ -61,4 +61,4 @@
 
 def test_shards_are_unchanged_without_peers():
     shards = make_shards("a", "a", "a")
-    assert bundle_far_shards(shards, "x", lambda zones: ()) == tuple(shards)
+    assert combine_remote_shards(shards, "x", lambda zones: ()) == tuple(shards)
--- a/chestnuthall/core/routing/tests/test_routing.py
+++ b/chestnuthall/core/routing/tests/test_routing.py
@@ -23,7 +23,7 @@
     SNAPSHOT_GONE,
 )
 from chestnuthall.core.routing import (
-    ConnectionShare,
+    ConnectionBudget,
     ExtraLoadBudget,
     Router,
     RouterSettings,
@@ -46,7 +46,7 @@
 
 def fail(router, replica, kind, now_ms):
     router.on_started(replica, now_ms)
-    router.on_failed(replica, kind.because("x"), 1, now_ms, now_ms)
+    router.on_failed(replica, kind.with_reason("x"), 1, now_ms, now_ms)
 
 
 def chosen_names(router, shard, now_ms, n=200, **options):
@@ -68,12 +68,12 @@
     budget = ExtraLoadBudget(ExtraLoadPolicy())
     n_extra = 0
     for _ in range(N_CALLS // 10):
-        budget.earn(range(10), utilisation_ratio, 0.0)
+        budget.record_calls(range(10), utilisation_ratio, 0.0)
         for _ in range(10):
             n_extra += (
-                budget.try_take_hedge("s", 0.0, 2.0)
+                budget.try_acquire_hedge("s", 0.0, 2.0)
                 if is_hedge
-                else budget.try_take_retry("s", 0.0, may_overdraw=True)
+                else budget.try_acquire_retry("s", 0.0, may_overdraw=True)
             )
     assert n_extra <= n_extra_max
 
@@ -81,10 +81,10 @@
 def test_retry_may_overdraw_credit_spent_by_hedges():
     """A retry that saves coverage must still be possible without credit."""
     budget = ExtraLoadBudget(ExtraLoadPolicy())
-    while budget.try_take_hedge("s", 0.0, 2.0):
+    while budget.try_acquire_hedge("s", 0.0, 2.0):
         pass
-    assert budget.try_take_retry("s", 0.0, may_overdraw=True)
-    assert not budget.try_take_retry("s", 0.0)
+    assert budget.try_acquire_retry("s", 0.0, may_overdraw=True)
+    assert not budget.try_acquire_retry("s", 0.0)
 
 
 @pytest.mark.parametrize(
@@ -137,7 +137,7 @@
     for i in range(30):
         answer(router, replicas[i % 3], 10.0, 10.0)
     router.on_started(replicas[0], 10.0)
-    cancelled = CALL_CANCELLED.because("hedge won")
+    cancelled = CALL_CANCELLED.with_reason("hedge won")
     router.on_failed(replicas[0], cancelled, 1, 10.0, 30.0)
     assert "r0" not in chosen_names(router, shard, 31.0)
     assert "r0" in chosen_names(router, shard, 10_000.0)
@@ -195,7 +195,7 @@
 def test_connections_of_all_instances_stay_within_the_cap(seed, n_connections_max):
     """Instances that start and leave must not exhaust an upstream's connections."""
     random = Random(seed)
-    shares = {i: ConnectionShare(0.0) for i in range(9)}
+    shares = {i: ConnectionBudget(0.0) for i in range(9)}
     now_ms = 0.0
     for step in range(400):
         now_ms += 500.0
@@ -204,10 +204,10 @@
             share.observe(n_alive, now_ms)
         # An instance of a rolling restart that the others don't know of yet.
         if step % 25 == 24 and n_alive < 12 and random.random() < 0.5:
-            shares[100 + step] = ConnectionShare(now_ms)
+            shares[100 + step] = ConnectionBudget(now_ms)
         elif step % 25 == 24 and n_alive > 6:
             del shares[random.choice(list(shares))]
-        budgets = [share.budget(n_connections_max) for share in shares.values()]
+        budgets = [share.n_connections(n_connections_max) for share in shares.values()]
         assert sum(budgets) <= n_connections_max
 
 
@@ -216,7 +216,7 @@
     router, shard, replicas = make_router()
     fail(router, replicas[0], REPLICA_REPLACED, 0.0)
     assert "r0" not in chosen_names(router, shard, 60_000.0)
-    router.forget("r0")
+    router.remove("r0")
     assert "r0" in chosen_names(router, shard, 60_000.0)
 
 
@@ -256,12 +256,12 @@
             started_ms = 1_000.0 * i
             router.on_started(replica, started_ms, "sweep")
             router.on_answered(
-                replica, started_ms, ANSWER, started_ms + 30.0 * slow, work="sweep"
+                replica, started_ms, ANSWER, started_ms + 30.0 * slow, call_type="sweep"
             )
             if i <= 30:
                 router.on_started(replica, started_ms, "check")
                 router.on_answered(
-                    replica, started_ms, ANSWER, started_ms + 10.0, work="check"
+                    replica, started_ms, ANSWER, started_ms + 10.0, call_type="check"
                 )
-    assert "r0" not in chosen_names(router, shard, 39_300.0, work="check")
+    assert "r0" not in chosen_names(router, shard, 39_300.0, call_type="check")
     assert router.hedge_delay_ms("check") < 15.0 < router.hedge_delay_ms("sweep")
--- a/chestnuthall/core/routing/tests/test_repeats.py
+++ b/chestnuthall/core/routing/tests/test_service_budget.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from chestnuthall.core.routing import RepeatBudget, RepeatLimits
+from chestnuthall.core.routing import ServiceExtraLoadBudget, ServiceExtraLoadLimits
 
 RATIO = 0.2
 WINDOW_MS = 10_000.0
@@ -21,8 +21,8 @@
 ):
     """Return the request times and repeat times of a whole fleet."""
     random = Random(seed)
-    limits = RepeatLimits(ratio=RATIO, window_ms=WINDOW_MS, n_floor=N_FLOOR)
-    fleet = [RepeatBudget(limits) for _ in range(n_instances)]
+    limits = ServiceExtraLoadLimits(ratio=RATIO, window_ms=WINDOW_MS, n_floor=N_FLOOR)
+    fleet = [ServiceExtraLoadBudget(limits) for _ in range(n_instances)]
     for budget in fleet:
         budget.set_n_instances(n_instances_known)
     requested, repeated = [], []
@@ -34,13 +34,13 @@
             (2.0 if is_high else 0.2) * n_requests_per_s / 1000.0
         )
         budget = fleet[int(random.betavariate(1, 3) * n_instances)]
-        budget.earn(["s"], 0.0, now_ms)
+        budget.record_calls(["s"], 0.0, now_ms)
         requested.append(now_ms)
         while random.random() < repeat_probability:
             is_acquired = (
-                budget.try_take_hedge("s", now_ms, 2.0)
+                budget.try_acquire_hedge("s", now_ms, 2.0)
                 if random.random() < 0.5
-                else budget.try_take_retry("s", now_ms)
+                else budget.try_acquire_retry("s", now_ms)
             )
             if is_acquired:
                 repeated.append(now_ms)
@@ -80,17 +80,19 @@
 
 def test_floor_is_not_used_while_the_fleet_size_is_unknown():
     """A starting instance must not use a floor that others may be using."""
-    limits = RepeatLimits(ratio=RATIO, window_ms=WINDOW_MS, n_floor=N_FLOOR)
-    budget = RepeatBudget(limits)
-    budget.earn(["s"], 0.0, 0.0)
-    assert not budget.try_take_retry("s", 1.0)
+    limits = ServiceExtraLoadLimits(ratio=RATIO, window_ms=WINDOW_MS, n_floor=N_FLOOR)
+    budget = ServiceExtraLoadBudget(limits)
+    budget.record_calls(["s"], 0.0, 0.0)
+    assert not budget.try_acquire_retry("s", 1.0)
 
 
 def test_hedges_leave_allowance_for_retries():
     """A retry that saves an answer must be possible after any number of hedges."""
-    budget = RepeatBudget(RepeatLimits(ratio=0.2, window_ms=WINDOW_MS, n_floor=0.0))
+    budget = ServiceExtraLoadBudget(
+        ServiceExtraLoadLimits(ratio=0.2, window_ms=WINDOW_MS, n_floor=0.0)
+    )
     for now_ms in range(100):
-        budget.earn(["s"], 0.0, float(now_ms))
-    while budget.try_take_hedge("s", 100.0, 2.0):
+        budget.record_calls(["s"], 0.0, float(now_ms))
+    while budget.try_acquire_hedge("s", 100.0, 2.0):
         pass
-    assert budget.try_take_retry("s", 100.0)
+    assert budget.try_acquire_retry("s", 100.0)
--- a/chestnuthall/daemon/_instance.py
+++ b/chestnuthall/daemon/_instance.py
@@ -30,9 +30,9 @@
 from chestnuthall.core.claims import LedgerSettings
 from chestnuthall.core.configuration import is_watcher
 from chestnuthall.core.model import Configuration
-from chestnuthall.core.quarantine import QuarantineRegister, QuarantineSettings
+from chestnuthall.core.quarantine import QuarantineRegistry, QuarantineSettings
 from chestnuthall.core.results import Failure
-from chestnuthall.ports import ListEntry, Metrics
+from chestnuthall.ports import InstanceListEntry, Metrics
 from chestnuthall.services import (
     Administration,
     Admissions,
@@ -43,10 +43,10 @@
     ConnectionBudgets,
     CountedObjectStore,
     Directory,
-    DrainNews,
-    DrainWatchingCaller,
+    DrainDetectingCaller,
+    DrainExchange,
     FleetStatus,
-    FleetUse,
+    FleetUsageExchange,
     HealthChecks,
     Identity,
     InstanceList,
@@ -55,7 +55,7 @@
     NewsStatus,
     OutcomeRecorder,
     PeerConfigurations,
-    QuarantineNews,
+    QuarantineExchange,
     QueryService,
     StatusReporter,
     TwoLevelFanOut,
@@ -83,7 +83,7 @@
     return StatsdMetrics(statsd.host, statsd.port, statsd.prefix)
 
 
-def _read_list_entry(text: str) -> ListEntry | None:
+def _read_list_entry(text: str) -> InstanceListEntry | None:
     """Parse an entry of the platform's instance list; None if it is invalid."""
     model = read_instance(text)
     return None if isinstance(model, Failure) else model.to_core()
@@ -124,7 +124,7 @@
         )
         self.instances = InstanceList(store, clock, _read_list_entry)
         admissions = Admissions(clock)
-        self.fleet_usage = FleetUse(
+        self.fleet_usage = FleetUsageExchange(
             self.settings.name, clock, admissions, lambda: self.membership.members()
         )
         self.membership = Membership(
@@ -134,24 +134,24 @@
             self.configuration,
             self.instances,
             random,
-            parts=(self.fleet_usage,),
+            sections=(self.fleet_usage,),
         )
-        self.drain_exchange = DrainNews(
+        self.drain_exchange = DrainExchange(
             self.directory,
             clock,
             self.instances,
-            self.membership.spread_now,
+            self.membership.disseminate_now,
             settings.name,
         )
-        quarantine_registry = QuarantineRegister(QuarantineSettings())
-        self.quarantine_exchange = QuarantineNews(
+        quarantine_registry = QuarantineRegistry(QuarantineSettings())
+        self.quarantine_exchange = QuarantineExchange(
             quarantine_registry,
             clock,
-            self.membership.spread_now,
+            self.membership.disseminate_now,
             self.directory.zone_of,
         )
-        self.membership.add_part(self.drain_exchange)
-        self.membership.add_part(self.quarantine_exchange)
+        self.membership.add_section(self.drain_exchange)
+        self.membership.add_section(self.quarantine_exchange)
         self.health_checks = HealthChecks(
             self.caller,
             self.directory,
@@ -184,7 +184,7 @@
             identity=identity,
             clock=clock,
             metrics=metrics,
-            caller=DrainWatchingCaller(self.caller, self.drain_exchange.signal),
+            caller=DrainDetectingCaller(self.caller, self.drain_exchange.on_signal),
             directory=self.directory,
             configuration=self.configuration,
             ledger=self.ledger,
@@ -193,7 +193,9 @@
             record_outcome=OutcomeRecorder(
                 self.burn, metrics, self.configuration
             ).record,
-            spread=lambda: self.membership.spread_now(N_PEERS_PER_LOSS_NOTICE),
+            disseminate=lambda: self.membership.disseminate_now(
+                N_PEERS_PER_LOSS_NOTICE
+            ),
             n_instances=lambda: self.membership.n_instances,
         )
         self.connections = ConnectionBudgets(
@@ -275,7 +277,7 @@
     def _disseminate_revision(self, configuration: Configuration) -> None:
         """Notify some peers of a new revision without waiting for the next probe."""
         task = asyncio.get_running_loop().create_task(
-            self.membership.spread_now(N_PEERS_PER_REVISION_UPDATE)
+            self.membership.disseminate_now(N_PEERS_PER_REVISION_UPDATE)
         )
         self._dissemination_tasks.add(task)
         task.add_done_callback(self._dissemination_tasks.discard)
@@ -287,9 +289,9 @@
             clock,
             self.directory,
             self.query.run_shards,
-            self.query.read_context,
+            self.query.fan_out_context,
         )
-        self.query.divide_searches(two_level.complete)
+        self.query.set_divided_search(two_level.complete)
         self.membership.set_shard_set_handler(two_level.answer)
 
     async def start(self) -> None:
--- a/chestnuthall/daemon/tests/test_mutations_on_store.py
+++ b/chestnuthall/daemon/tests/test_mutations_on_store.py
@@ -22,8 +22,8 @@
     Shard,
     ShardAnswer,
 )
-from chestnuthall.core.quarantine import QuarantineRegister, QuarantineSettings
-from chestnuthall.core.results import NO_REPLICA, Repeat, RunState
+from chestnuthall.core.quarantine import QuarantineRegistry, QuarantineSettings
+from chestnuthall.core.results import NO_REPLICA, RetryAdvice, RunState
 from chestnuthall.daemon.tests.shared_store_fleet import (
     SharedStoreFleet,
     configuration_text,
@@ -46,7 +46,7 @@
 
     async def call(self, call):
         if not self.is_reachable:
-            return NO_REPLICA.because("refused")
+            return NO_REPLICA.with_reason("refused")
         if isinstance(call.request, SearchRequest):
             await asyncio.sleep(0.5)
         else:
@@ -57,9 +57,11 @@
         return ShardAnswer(call.call_id, call.shard_id, call.snapshot_id, (), 10)
 
     async def fetch_partition_map(self, replica, timeout_ms):
-        return NO_REPLICA.because("no map")
+        return NO_REPLICA.with_reason("no map")
 
-    def set_connection_budget(self, group, n_connections, kept_ratio=1.0, n_near=None):
+    def set_connection_budget(
+        self, group, n_connections, connected_ratio=1.0, n_connections_in_zone=None
+    ):
         pass
 
 
@@ -87,7 +89,7 @@
             configuration=self.keepers[index],
             admissions=Admissions(self.clock),
             ledger=self.ledgers[index],
-            quarantine=QuarantineRegister(QuarantineSettings()),
+            quarantine=QuarantineRegistry(QuarantineSettings()),
         )
         self.keepers[index].offer_text(configuration_text(1), "test")
         directory.add_map(PartitionMap("desk", 1, (SHARD,)))
@@ -139,7 +141,10 @@
         fleet = MutationFleet()
         outcome = await provoke_refusal(fleet)
         if outcome is not None:
-            assert (outcome.run, outcome.repeat) == (RunState.NO, Repeat.NEW_KEY)
+            assert (outcome.run_state, outcome.repeat) == (
+                RunState.NO,
+                RetryAdvice.NEW_KEY,
+            )
         await asyncio.sleep(0.1)
         again = await fleet.send(1, "again")
         await asyncio.sleep(2.0)
@@ -174,7 +179,7 @@
     outcomes, run_names = run_virtual(scenario())
     assert len(run_names) == 1
     for name, outcome in outcomes.items():
-        if isinstance(outcome, Answer) or outcome.run is RunState.YES:
+        if isinstance(outcome, Answer) or outcome.run_state is RunState.YES:
             assert name in run_names
-        elif outcome.run is RunState.NO:
+        elif outcome.run_state is RunState.NO:
             assert name not in run_names
--- a/chestnuthall/daemon/tests/test_notices.py
+++ b/chestnuthall/daemon/tests/test_notices.py
@@ -20,15 +20,15 @@
     Shard,
     UpstreamGroup,
 )
-from chestnuthall.core.quarantine import QuarantineRegister, QuarantineSettings
+from chestnuthall.core.quarantine import QuarantineRegistry, QuarantineSettings
 from chestnuthall.core.results import CONNECTION_REFUSED
 from chestnuthall.daemon.tests.virtual_fleet import VirtualFleet
 from chestnuthall.ports import PeerDigest, QuarantineNotice
 from chestnuthall.services import (
     Directory,
-    DrainNews,
+    DrainExchange,
     HealthChecks,
-    QuarantineNews,
+    QuarantineExchange,
 )
 from chestnuthall.standins.virtual_time import run_virtual
 
@@ -48,7 +48,7 @@
 
     async def check_health(self, group, replica, timeout_ms):
         if not self.is_listening:
-            return CONNECTION_REFUSED.because("down")
+            return CONNECTION_REFUSED.with_reason("down")
         return self.is_draining
 
 
@@ -59,12 +59,14 @@
         directory.add_group(GROUP)
         directory.add_map(PartitionMap("g", 1, (SHARD,)))
         membership = instance.membership
-        drains = DrainNews(directory, clock, listed, membership.spread_now)
-        quarantine_registry = QuarantineRegister(QuarantineSettings())
-        quarantines = QuarantineNews(quarantine_registry, clock, membership.spread_now)
+        drains = DrainExchange(directory, clock, listed, membership.disseminate_now)
+        quarantine_registry = QuarantineRegistry(QuarantineSettings())
+        quarantines = QuarantineExchange(
+            quarantine_registry, clock, membership.disseminate_now
+        )
         health = HealthChecks(upstream, directory, drains, membership, clock, random)
-        membership.add_part(drains)
-        membership.add_part(quarantines)
+        membership.add_section(drains)
+        membership.add_section(quarantines)
         instance.parts.update(
             clock=clock,
             drains=drains,
@@ -85,7 +87,7 @@
 def n_using_replica(fleet):
     """Count the instances that would send the replica a new call now."""
     return sum(
-        item.parts["router"].holds(REPLICA, 1, item.parts["clock"].now_ms())
+        item.parts["router"].serves_snapshot(REPLICA, 1, item.parts["clock"].now_ms())
         for item in fleet.instances.values()
     )
 
@@ -107,16 +109,16 @@
 
 def _drain_by_refused_connection(fleet, upstream):
     upstream.is_listening = False
-    fleet.instances["entry-3"].parts["drains"].signal("r0", DrainSignal.REFUSED)
+    fleet.instances["entry-3"].parts["drains"].on_signal("r0", DrainSignal.REFUSED)
 
 
 def _drain_by_answer(fleet, upstream):
     upstream.is_draining = True
-    fleet.instances["entry-3"].parts["drains"].signal("r0", DrainSignal.ANSWER)
+    fleet.instances["entry-3"].parts["drains"].on_signal("r0", DrainSignal.ANSWER)
 
 
 def _drain_by_operator(fleet, upstream):
-    fleet.instances["entry-3"].parts["drains"].signal("r0", DrainSignal.OPERATOR)
+    fleet.instances["entry-3"].parts["drains"].on_signal("r0", DrainSignal.OPERATOR)
 
 
 SIGNALS = {
@@ -281,13 +283,13 @@
     async def scenario():
         fleet = make_fleet(Upstream())
         await fleet.wait_until_converged()
-        fleet.instances["entry-1"].parts["drains"].signal("r0", DrainSignal.OPERATOR)
+        fleet.instances["entry-1"].parts["drains"].on_signal("r0", DrainSignal.OPERATOR)
         await asyncio.sleep(PROPAGATION_LIMIT_S)
         services = fleet.instances["entry-2"].parts
         services["directory"].add_group(replace(GROUP, name="late"))
         await asyncio.sleep(PROPAGATION_LIMIT_S)
         now_ms = services["clock"].now_ms()
-        return services["directory"].router("late").holds(REPLICA, 1, now_ms)
+        return services["directory"].router("late").serves_snapshot(REPLICA, 1, now_ms)
 
     assert not run_virtual(scenario())
 
@@ -296,7 +298,7 @@
 def test_only_a_notice_newer_than_the_lift_applies(sequence, is_refused):
     """A notice that is older than the lift and arrives after it must be ignored."""
     clock = SimpleNamespace(now_ms=lambda: 0.0, wall_ms=lambda: 0.0)
-    exchange = QuarantineNews(QuarantineRegister(QuarantineSettings()), clock, None)
+    exchange = QuarantineExchange(QuarantineRegistry(QuarantineSettings()), clock, None)
     digest = PeerDigest(
         sender="entry-1",
         sender_address="a:1",
@@ -308,5 +310,5 @@
             QuarantineNotice("f", ("r1", "r2"), 60_000.0, sequence),
         ),
     )
-    exchange.absorb(digest)
+    exchange.receive(digest)
     assert exchange.is_quarantined("f") is is_refused
--- a/chestnuthall/daemon/tests/test_status.py
+++ b/chestnuthall/daemon/tests/test_status.py
@@ -30,7 +30,7 @@
         self.n_writes = 0
 
     async def get(self, kind, name, timeout_ms):
-        return self.stored or OBJECT_NOT_FOUND.because("none")
+        return self.stored or OBJECT_NOT_FOUND.with_reason("none")
 
     async def create(self, kind, name, value, timeout_ms):
         return await self.update(kind, name, value, 0, timeout_ms)
@@ -44,7 +44,7 @@
                 self.stored = StoredObject(kind, name, self.stored.version + 1, value)
                 return failure
         if version != (self.stored.version if self.stored else 0):
-            return OBJECT_CONFLICT.because("changed")
+            return OBJECT_CONFLICT.with_reason("changed")
         self.stored = StoredObject(kind, name, version + 1, value)
         return self.stored
 
@@ -71,8 +71,8 @@
     "failure",
     [
         None,
-        OBJECT_CONFLICT.because("another writer"),
-        STORE_WRITE_UNKNOWN.because("answer lost"),
+        OBJECT_CONFLICT.with_reason("another writer"),
+        STORE_WRITE_UNKNOWN.with_reason("answer lost"),
     ],
 )
 def test_next_write_recovers_from_a_failure(failure):
--- a/chestnuthall/daemon/tests/test_two_level.py
+++ b/chestnuthall/daemon/tests/test_two_level.py
@@ -65,15 +65,15 @@
 
 
 def _fail_snapshot_unavailable(call):
-    return SNAPSHOT_GONE.because("x")
+    return SNAPSHOT_GONE.with_reason("x")
 
 
 def _fail_connection_lost(call):
-    return CONNECTION_LOST.because("x")
+    return CONNECTION_LOST.with_reason("x")
 
 
 def _fail_quarantined(call):
-    return QUARANTINED.because("x")
+    return QUARANTINED.with_reason("x")
 
 
 @pytest.mark.parametrize(
--- a/chestnuthall/platform/_configuration.py
+++ b/chestnuthall/platform/_configuration.py
@@ -101,7 +101,7 @@
     except ValidationError as error:
         first = error.errors()[0]
         location = ".".join(str(item) for item in first["loc"])
-        return CONFIGURATION_REJECTED.because(f"{location}: {first['msg']}")
+        return CONFIGURATION_REJECTED.with_reason(f"{location}: {first['msg']}")
     return Configuration(
         environment=SINGLETON_NAME,
         revision=document.version,
--- a/chestnuthall/platform/_dialect.py
+++ b/chestnuthall/platform/_dialect.py
@@ -144,13 +144,13 @@
                     return StoredObject(
                         kind, name, item.version, item.value, page.version
                     )
-            return OBJECT_NOT_FOUND.because(f"no object {stored_name!r}")
+            return OBJECT_NOT_FOUND.with_reason(f"no object {stored_name!r}")
         if response.status != 200:
             return failure_of_status(response)
         try:
             return _Object.model_validate_json(response.body).to_stored_object(kind)
         except ValidationError:
-            return STORE_UNAVAILABLE.because("the store sent an invalid object")
+            return STORE_UNAVAILABLE.with_reason("the store sent an invalid object")
 
     def read_list(self, kind: str, response: HttpResponse) -> ListPage | Failure:
         """Decode one page of a list; invalid entries are left out."""
@@ -159,7 +159,7 @@
         try:
             listed = _ListResponse.model_validate_json(response.body)
         except ValidationError:
-            return STORE_UNAVAILABLE.because("the store sent an invalid list")
+            return STORE_UNAVAILABLE.with_reason("the store sent an invalid list")
         objects = tuple(
             item.to_stored_object(kind, listed.version)
             for item in map(_read_object, listed.items)
@@ -174,7 +174,7 @@
         The failure tells whether the write may have taken effect.
         """
         if response.status == 503:
-            return STORE_UNAVAILABLE.because(
+            return STORE_UNAVAILABLE.with_reason(
                 "the store refused the write with status 503"
             )
         if response.status not in (200, 201):
@@ -182,7 +182,7 @@
         try:
             return _Object.model_validate_json(response.body).to_stored_object(kind)
         except ValidationError:
-            return STORE_WRITE_UNKNOWN.because("the store sent an invalid object")
+            return STORE_WRITE_UNKNOWN.with_reason("the store sent an invalid object")
 
     def read_watch(self, kind: str, response: HttpResponse) -> WatchBatch | Failure:
         """Decode a watch response, keeping the last event of each object."""
@@ -191,7 +191,9 @@
         try:
             watched = _WatchResponse.model_validate_json(response.body)
         except ValidationError:
-            return STORE_UNAVAILABLE.because("the store sent an invalid watch batch")
+            return STORE_UNAVAILABLE.with_reason(
+                "the store sent an invalid watch batch"
+            )
         last: dict[str, _Event] = {}
         for event in map(_read_event, watched.events):
             if event is not None:
--- a/chestnuthall/platform/_instance.py
+++ b/chestnuthall/platform/_instance.py
@@ -21,14 +21,18 @@
 from chestnuthall.adapters.upstreams import HttpShardCaller
 from chestnuthall.core.configuration import (
     FeedTiming,
-    LeaderChoice,
+    LeaderSelector,
     safe_watch_timeout_ms,
 )
 from chestnuthall.core.model import Configuration
 from chestnuthall.core.overload import LagSettings, OverloadDetector
-from chestnuthall.core.quarantine import QuarantineRegister, QuarantineSettings
-from chestnuthall.core.registry import ReplicaRegister
-from chestnuthall.core.routing import RepeatBudget, RepeatLimits, RouterSettings
+from chestnuthall.core.quarantine import QuarantineRegistry, QuarantineSettings
+from chestnuthall.core.registry import ReplicaRegistry
+from chestnuthall.core.routing import (
+    RouterSettings,
+    ServiceExtraLoadBudget,
+    ServiceExtraLoadLimits,
+)
 from chestnuthall.platform._configuration import read_configuration, read_limits
 from chestnuthall.platform._dialect import SINGLETON_NAME, PlatformDialect
 from chestnuthall.platform._frontend import (
@@ -47,12 +51,12 @@
     ConnectionBudgets,
     CountedObjectStore,
     DecisionLog,
-    EqualParts,
+    EqualQuotas,
     Identity,
     InstanceEntry,
     Lifecycle,
     PeerAwareCaller,
-    PeerSets,
+    PeerShardSets,
     Presence,
     QueryService,
     RelayService,
@@ -161,12 +165,12 @@
             self._feeds,
             (ENVIRONMENT_KIND, REGISTRATION_KIND),
             FeedTiming(min(settings.configuration_deadline_ms, settings.drain_ms)),
-            LeaderChoice(settings.name),
+            LeaderSelector(settings.name),
             lambda: self.presence.near_peers,
             [x for x in settings.seed_addresses if x != settings.peer_address],
         )
-        self._extra_load_budget = RepeatBudget(
-            RepeatLimits(
+        self._extra_load_budget = ServiceExtraLoadBudget(
+            ServiceExtraLoadLimits(
                 ratio=settings.repeat_ratio,
                 window_ms=1000.0 * settings.repeat_window_s,
                 n_floor=settings.n_repeats_floor,
@@ -203,7 +207,7 @@
             self._caller,
             clock,
             read_registration,
-            ReplicaRegister(
+            ReplicaRegistry(
                 min(
                     REGISTRATION_RETENTION_MS,
                     settings.drain_ms - REGISTRATION_UPDATE_MARGIN_MS,
@@ -226,15 +230,15 @@
             clock,
             self.configuration,
             lambda: self.presence.n_instances,
-            n_assumed=1,
-            n_near=self.presence.n_near,
+            n_instances_assumed=1,
+            n_instances_in_zone=self.presence.n_instances_in_zone,
         )
         admissions = Admissions(clock)
-        self._quotas = EqualParts(
+        self._quotas = EqualQuotas(
             clock, admissions, lambda: self.presence.n_instances or 1
         )
         self._peer_caller = self._make_peer_caller()
-        peer_shard_sets = PeerSets(
+        peer_shard_sets = PeerShardSets(
             settings.name, settings.zone, lambda: self.presence.peers
         )
         query = QueryService(
@@ -245,14 +249,14 @@
             directory=self.directory,
             configuration=self.configuration,
             ledger=None,
-            quarantine=QuarantineRegister(
+            quarantine=QuarantineRegistry(
                 QuarantineSettings(quarantine_ms=QUARANTINE_MS)
             ),
             admissions=admissions,
             shared_budget=self._extra_load_budget,
             retry_after_ms=RETRY_AFTER_MS,
             decision_log=self._decisions,
-            bundle=peer_shard_sets.bundle,
+            combine_shards=peer_shard_sets.combine_shards,
         )
         self._relay = RelayService(query, self.configuration, self.directory)
         frontend = RelayFrontend(self._relay, self.lifecycle, clock)
@@ -299,7 +303,11 @@
     def _can_serve(self) -> bool:
         """Whether this instance can serve the routes of its configuration."""
         is_responsive = not self._overload.is_overloaded
-        return is_responsive and self._is_initialised() and self._relay.reaches_floors()
+        return (
+            is_responsive
+            and self._is_initialised()
+            and self._relay.can_reach_coverage_floors()
+        )
 
     def _is_initialised(self) -> bool:
         return self.configuration.is_ready and self.directory.is_ready
--- a/chestnuthall/platform/tests/test_peer_calls.py
+++ b/chestnuthall/platform/tests/test_peer_calls.py
@@ -206,7 +206,7 @@
 
     async def serve(self, call):
         self.calls.append(call)
-        return NOT_READY.because("test")
+        return NOT_READY.with_reason("test")
 
     def begin_request(self):
         """Do nothing."""
--- a/chestnuthall/ports/_driving.py
+++ b/chestnuthall/ports/_driving.py
@@ -46,7 +46,7 @@
         ...
 
 
-class CallerListener(Protocol):
+class CallerServer(Protocol):
     """Operations of the callers' listener for a graceful stop."""
 
     def announce_close(self) -> None:
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class QuarantineView:
+class QuarantineStatus:
     """A suspected or quarantined request, as shown to operators."""
 
     fingerprint: str
@@ -75,7 +75,7 @@
     is_quarantined: bool
 
 
-class InstanceAdministration(Protocol):
+class InstanceAdminService(Protocol):
     """Operations of operators on one instance."""
 
     def drain_instance(self, name: str) -> Failure | None:
@@ -90,7 +90,7 @@
         """End the drain of a replica, regardless of its cause."""
         ...
 
-    def quarantines(self) -> tuple[QuarantineView, ...]:
+    def quarantines(self) -> tuple[QuarantineStatus, ...]:
         """Return the suspected and quarantined requests."""
         ...
 
--- a/chestnuthall/ports/_feeds.py
+++ b/chestnuthall/ports/_feeds.py
@@ -19,7 +19,7 @@
     age_ms: float
 
 
-class PeerFeeds(Protocol):
+class FeedClient(Protocol):
     """Reads objects from peers."""
 
     async def watch(
--- a/chestnuthall/ports/_instances.py
+++ b/chestnuthall/ports/_instances.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ListEntry:
+class InstanceListEntry:
     """One instance in the platform's list, which may be out of date.
 
     The name of an upstream is the name of its replica. ``peer_address`` is
--- a/chestnuthall/ports/_shards.py
+++ b/chestnuthall/ports/_shards.py
@@ -24,15 +24,15 @@
         self,
         group: str,
         n_connections: int,
-        kept_ratio: float = 1.0,
-        n_near: int | None = None,
+        connected_ratio: float = 1.0,
+        n_connections_in_zone: int | None = None,
     ) -> None:
         """Set the maximum number of connections to each replica of a group.
 
-        ``kept_ratio`` is the fraction of the replicas to which a connection stays
+        ``connected_ratio`` is the fraction of the replicas to which a connection stays
         open if a replica allows fewer connections than there are instances.
-        ``n_near`` is the maximum for replicas in the instance's own zone, or None
-        if it does not differ.
+        ``n_connections_in_zone`` is the maximum for replicas in the instance's own
+        zone, or None if it does not differ.
         """
         ...
 
@@ -51,7 +51,7 @@
     """Runs shard calls and fetches partition maps."""
 
 
-CallListener = Callable[[ShardAnswer | Failure], None]
+CallCallback = Callable[[ShardAnswer | Failure], None]
 CancelCall = Callable[[], None]
 
 
@@ -62,7 +62,7 @@
     The listener is called once, unless the call is cancelled first.
     """
 
-    def begin(self, call: ShardCall, on_result: CallListener) -> CancelCall | None:
+    def start_call(self, call: ShardCall, on_result: CallCallback) -> CancelCall | None:
         """Start a call; return a function that cancels it, or None if it must wait."""
         ...
 
