--- a/chestnuthall/services/_admission.py
+++ b/chestnuthall/services/_admission.py
@@ -19,9 +19,9 @@
     Reconfigured,
     Refuse,
     Release,
-    ReleasePart,
+    ReleaseCalls,
+    WakeUpDue,
     Withdraw,
-    Woken,
 )
 from chestnuthall.core.model import (
     AdmissionAccount,
@@ -31,7 +31,7 @@
     ShardAnswer,
     ShardCall,
     UpstreamGroup,
-    kind_of,
+    request_kind,
 )
 from chestnuthall.core.results import SHED_BY_UPSTREAM, Failure
 from chestnuthall.ports import Clock
@@ -122,7 +122,7 @@
     @property
     def limit_cost(self) -> float:
         """Average number of shard calls that may run concurrently."""
-        return self._queue.room.limit_cost
+        return self._queue.capacity.limit_cost
 
     @property
     def n_running(self) -> int:
@@ -166,7 +166,7 @@
 
     def adapt(self) -> None:
         """Adapt the limit to the latencies and sheds observed since the last call."""
-        self._handle(Woken(self._clock.now_ms()))
+        self._handle(WakeUpDue(self._clock.now_ms()))
         self._limit.adapt(self.utilisation_ratio)
         self._apply_limit()
 
@@ -205,7 +205,7 @@
             return
         self._limit.observe_answer(replica_name, elapsed_ms)
         now_ms = self._clock.now_ms()
-        self._handle(ReleasePart(now_ms, admitted.ticket, 1.0, elapsed_ms))
+        self._handle(ReleaseCalls(now_ms, admitted.ticket, 1.0, elapsed_ms))
 
     async def acquire(self, request: Request, cost: float) -> Admitted | NotAdmitted:
         """Wait until a request is admitted or refused."""
@@ -221,7 +221,7 @@
                 now_ms,
                 ticket,
                 request.class_name,
-                kind_of(request),
+                request_kind(request),
                 cost,
                 request.deadline_ms,
             )
@@ -281,7 +281,7 @@
 
     def _on_timer(self) -> None:
         self._timer = None
-        self._handle(Woken(self._clock.now_ms()))
+        self._handle(WakeUpDue(self._clock.now_ms()))
 
     @singledispatchmethod
     def _perform(self, action: AdmissionAction) -> None:
@@ -321,7 +321,7 @@
         The admission of a removed group is kept while it has queries.
         """
         for name, admission in self.items():
-            group = document.group_named(name)
+            group = document.find_group(name)
             if group is not None:
                 admission.reconfigure(document, group)
             elif not admission.is_in_use:
@@ -344,6 +344,6 @@
             admission.adapt()
 
 
-def account_of_unqueued() -> AdmissionAccount:
+def unqueued_account() -> AdmissionAccount:
     """Return the account of a request that was refused before it was queued."""
     return AdmissionAccount(AdmissionRule.NOT_ADMITTED, 0.0, 0)
--- a/chestnuthall/services/_claims.py
+++ b/chestnuthall/services/_claims.py
@@ -10,32 +10,32 @@
 
 from chestnuthall.core.claims import (
     EMPTY_PARTITION,
-    AbandonRequested,
-    AwaitTurn,
+    AwaitWriteSlot,
+    ClaimAbandoned,
     ClaimAction,
     ClaimEvent,
     ClaimRequested,
     ClaimWithdrawn,
+    CompleteClaim,
     Delay,
     DelayEnded,
     KeyClaim,
     LedgerPartition,
     LedgerSettings,
-    PartitionClaims,
+    PartitionClaimMachine,
     PartitionRead,
     Phase,
     ReadFailed,
     ReadPartition,
-    Settle,
-    StoreBreaker,
-    TurnGranted,
-    WriteBudget,
+    StoreCircuitBreaker,
     WriteConflicted,
     WriteFailed,
-    WriteLost,
     WritePartition,
+    WriteRateLimiter,
+    WriteSlotGranted,
     WriteSucceeded,
-    partition_name_of,
+    WriteUnresolved,
+    partition_name,
 )
 from chestnuthall.core.model import MutationRequest
 from chestnuthall.core.results import (
@@ -100,11 +100,11 @@
         self._settings = settings
         self._n_instances = n_instances
         self._random = random or Random()
-        self._write_limiter = WriteBudget(N_BURST_WRITES)
-        self._breaker = StoreBreaker()
+        self._write_limiter = WriteRateLimiter(N_BURST_WRITES)
+        self._breaker = StoreCircuitBreaker()
         self._slot_queue: deque[str] = deque()
         self._is_granting = False
-        self._partitions: dict[str, PartitionClaims] = {}
+        self._partitions: dict[str, PartitionClaimMachine] = {}
         self._waiters: dict[str, asyncio.Future[Failure | None]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -115,7 +115,9 @@
         )
         name = self._partition_name(claim)
         if self._is_overloaded(name):
-            return RATE_LIMITED.because("too many claims are waiting for a write slot")
+            return RATE_LIMITED.with_reason(
+                "too many claims are waiting for a write slot"
+            )
         waiter: asyncio.Future[Failure | None]
         waiter = asyncio.get_running_loop().create_future()
         self._waiters[claim.token] = waiter
@@ -135,7 +137,7 @@
         stays claimed.
         """
         self._handle(
-            self._partition_name(claim), AbandonRequested(self._clock.wall_ms(), claim)
+            self._partition_name(claim), ClaimAbandoned(self._clock.wall_ms(), claim)
         )
 
     async def close(self) -> None:
@@ -145,7 +147,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def _partition_name(self, claim: KeyClaim) -> str:
-        return partition_name_of(claim.idempotency_key, self._settings.n_partitions)
+        return partition_name(claim.idempotency_key, self._settings.n_partitions)
 
     async def _wait(
         self,
@@ -161,7 +163,7 @@
         if waiter.result() is None and self._clock.now_ms() >= deadline_ms:
             # The claim was completed too late for the mutation to be dispatched.
             self.abandon(claim)
-            return DEADLINE_PASSED.because("the deadline passed during the claim")
+            return DEADLINE_PASSED.with_reason("the deadline passed during the claim")
         return waiter.result()
 
     def _withdraw(self, claim: KeyClaim) -> None:
@@ -181,7 +183,7 @@
     def _handle(self, name: str, event: ClaimEvent) -> None:
         partition = self._partitions.get(name)
         if partition is None:
-            partition = self._partitions[name] = PartitionClaims(self._settings)
+            partition = self._partitions[name] = PartitionClaimMachine(self._settings)
         for action in partition.handle(event):
             self._perform(action, name)
         if partition.phase is Phase.IDLE:
@@ -199,7 +201,7 @@
         for item, n in caches:
             if n_entries <= N_CACHED_ENTRIES_MAX:
                 return
-            item.forget_cache()
+            item.drop_cache()
             n_entries -= n
 
     @singledispatchmethod
@@ -207,7 +209,7 @@
         raise TypeError(f"not an action: {type(action).__name__}")
 
     @_perform.register
-    def _(self, action: Settle, name: str) -> None:
+    def _(self, action: CompleteClaim, name: str) -> None:
         waiter = self._waiters.pop(action.token, None)
         if waiter is not None and not waiter.done():
             waiter.set_result(action.failure)
@@ -217,7 +219,7 @@
         self._start(self._read(name))
 
     @_perform.register
-    def _(self, action: AwaitTurn, name: str) -> None:
+    def _(self, action: AwaitWriteSlot, name: str) -> None:
         self._slot_queue.append(name)
         if not self._is_granting:
             self._is_granting = True
@@ -241,7 +243,7 @@
             wait_ms = self._write_limiter.reserve(now_ms, self._write_rate_per_s())
             if wait_ms > 0.0:
                 await self._clock.sleep_ms(wait_ms)
-        self._handle(name, TurnGranted(self._clock.wall_ms()))
+        self._handle(name, WriteSlotGranted(self._clock.wall_ms()))
 
     def _is_overloaded(self, name: str) -> bool:
         """Return whether a new claim would wait too long for a write slot."""
@@ -280,21 +282,21 @@
         self._handle(name, await self._read_partition(name))
 
     async def _read_partition(self, name: str) -> ClaimEvent:
-        if not self._breaker.allows(self._clock.now_ms()):
-            failure = STORE_UNAVAILABLE.because("the store circuit breaker is open")
+        if not self._breaker.try_acquire(self._clock.now_ms()):
+            failure = STORE_UNAVAILABLE.with_reason("the store circuit breaker is open")
             return ReadFailed(self._clock.wall_ms(), failure)
         stored = await self._store.get(CLAIMS_KIND, name, STORE_TIMEOUT_MS)
         wall_ms = self._clock.wall_ms()
         if isinstance(stored, StoredObject):
-            self._breaker.note_success()
+            self._breaker.record_success()
             decoded = self._codec.decode(stored.value)
             if isinstance(decoded, Failure):
                 return ReadFailed(wall_ms, decoded)
             return PartitionRead(wall_ms, stored.version, decoded)
         if stored.kind is OBJECT_NOT_FOUND:
-            self._breaker.note_success()
+            self._breaker.record_success()
             return PartitionRead(wall_ms, 0, EMPTY_PARTITION)
-        self._breaker.note_failure(self._clock.now_ms())
+        self._breaker.record_failure(self._clock.now_ms())
         return ReadFailed(wall_ms, stored)
 
     async def _write(self, name: str, action: WritePartition) -> None:
@@ -318,7 +320,7 @@
         if written.kind is OBJECT_CONFLICT:
             return WriteConflicted(wall_ms, self._random.random())
         if written.kind is STORE_WRITE_UNKNOWN:
-            return WriteLost(wall_ms)
+            return WriteUnresolved(wall_ms)
         if written.kind is not RATE_LIMITED:
-            self._breaker.note_failure(self._clock.now_ms())
+            self._breaker.record_failure(self._clock.now_ms())
         return WriteFailed(wall_ms, written)
--- a/chestnuthall/services/_decision_log.py
+++ b/chestnuthall/services/_decision_log.py
@@ -16,8 +16,8 @@
 from chestnuthall.ports import Clock, Metrics
 
 # Name of the logger whose volume is limited here.
-DECISIONS = "chestnuthall.decisions"
-_log = logging.getLogger(DECISIONS)
+DECISION_LOGGER_NAME = "chestnuthall.decisions"
+_log = logging.getLogger(DECISION_LOGGER_NAME)
 
 # Token bucket of lines: its size, and its refill per second. A line takes about
 # 35 us, so that the log takes less than a twentieth of the time of the requests.
@@ -149,7 +149,7 @@
             _log.info("request answered", extra=fields)
             return
         fields["reason"] = outcome.failure.reason
-        fields["run"] = outcome.run.value
+        fields["run"] = outcome.run_state.value
         fields["retry_after_ms"] = outcome.retry_after_ms
         _log.info("request refused", extra=fields)
 
--- a/chestnuthall/services/_directory.py
+++ b/chestnuthall/services/_directory.py
@@ -127,22 +127,24 @@
             return None
         now_ms = self._clock.now_ms()
         return catalog.choose(
-            lambda replica, snapshot_id: router.holds(replica, snapshot_id, now_ms),
+            lambda replica, snapshot_id: router.serves_snapshot(
+                replica, snapshot_id, now_ms
+            ),
             excluded,
         )
 
-    async def pin_another(
-        self, group_name: str, gone: tuple[int, ...]
+    async def pin_replacement(
+        self, group_name: str, unavailable_snapshot_ids: tuple[int, ...]
     ) -> PartitionMap | None:
         """Return a map of a snapshot that is still available, or None.
 
         Upstreams are queried unless a newer map is known.
         """
-        known = self.pin(group_name, gone)
-        if known is not None and known.snapshot_id > max(gone):
+        known = self.pin(group_name, unavailable_snapshot_ids)
+        if known is not None and known.snapshot_id > max(unavailable_snapshot_ids):
             return known
         await self._fetch_from_upstreams(group_name)
-        return self.pin(group_name, gone)
+        return self.pin(group_name, unavailable_snapshot_ids)
 
     async def _fetch_from_upstreams(self, group_name: str) -> None:
         catalog = self._catalogs[group_name]
--- a/chestnuthall/services/_drain_news.py
+++ b/chestnuthall/services/_drain_news.py
@@ -7,16 +7,16 @@
 from functools import singledispatchmethod
 
 from chestnuthall.core.drains import (
-    CameBack,
+    DisseminateNotices,
     DrainAction,
+    DrainDetected,
+    DrainEndDetected,
     DrainEvent,
-    DrainRegister,
+    DrainRegistry,
     DrainSignal,
     Notice,
     NoticesReceived,
     ResumeCalls,
-    Signalled,
-    SpreadNews,
     StopCalls,
 )
 from chestnuthall.core.model import PartitionMap, Replica, ShardAnswer, ShardCall
@@ -24,8 +24,8 @@
 from chestnuthall.ports import (
     Clock,
     DrainNotice,
+    InstanceListEntry,
     InstanceRole,
-    ListEntry,
     MapFetchingCaller,
     PeerDigest,
 )
@@ -40,7 +40,7 @@
 Disseminator = Callable[[int], Awaitable[None]]
 
 
-class DrainNews:
+class DrainExchange:
     """Applies every drain signal to the routers and sends it to the peers.
 
     Signals are the observations of this instance, the platform's list and the
@@ -58,18 +58,18 @@
         self._directory = directory
         self._clock = clock
         self._disseminate = disseminate
-        self._registry = DrainRegister(origin_name=origin_name)
+        self._registry = DrainRegistry(origin_name=origin_name)
         self._listed_leaving: set[str] = set()
         self._dissemination: asyncio.Task[None] | None = None
         self._has_unsent_notices = False
         instances.on_change(self._on_list_change)
 
-    def signal(self, replica_name: str, signal: DrainSignal) -> None:
+    def on_signal(self, replica_name: str, signal: DrainSignal) -> None:
         """Record that this instance observed the drain of a replica."""
         now_ms, wall_ms = self._clock.now_ms(), self._clock.wall_ms()
-        self._handle(Signalled(now_ms, wall_ms, replica_name, signal))
+        self._handle(DrainDetected(now_ms, wall_ms, replica_name, signal))
 
-    def note_back(
+    def on_recovered(
         self, replica_name: str, signal: DrainSignal, observed_ms: float
     ) -> None:
         """Record that this instance observed that a replica accepts calls again.
@@ -77,29 +77,31 @@
         ``observed_ms`` is the time at which the observation started.
         """
         now_ms, wall_ms = self._clock.now_ms(), self._clock.wall_ms()
-        self._handle(CameBack(now_ms, wall_ms, replica_name, signal, observed_ms))
+        self._handle(
+            DrainEndDetected(now_ms, wall_ms, replica_name, signal, observed_ms)
+        )
 
     def is_listed_leaving(self, replica_name: str) -> bool:
         """Return whether the platform's list marks a replica as leaving."""
         return replica_name in self._listed_leaving
 
-    def active(self) -> tuple[Notice, ...]:
+    def active_notices(self) -> tuple[Notice, ...]:
         """Return the notices of the drains in effect."""
-        return self._registry.active(self._clock.now_ms())
+        return self._registry.active_drains(self._clock.now_ms())
 
     def reapply(self) -> None:
         """Apply all drains to the routers again, for groups added in the meantime."""
         now_ms = self._clock.now_ms()
-        for notice in self._registry.active(now_ms):
+        for notice in self._registry.active_drains(now_ms):
             until_ms = now_ms + notice.remaining_ms
             self._perform(StopCalls(notice.replica_name, until_ms))
 
-    def fill(self, digest: PeerDigest) -> PeerDigest:
+    def add_to(self, digest: PeerDigest) -> PeerDigest:
         """Return the digest with the drain notices added."""
-        notices = self._registry.take_notices(self._clock.now_ms())
+        notices = self._registry.select_notices(self._clock.now_ms())
         return replace(digest, drains=tuple(map(_to_port_notice, notices)))
 
-    def absorb(self, digest: PeerDigest) -> None:
+    def receive(self, digest: PeerDigest) -> None:
         """Apply the drain notices of a peer."""
         notices = tuple(
             Notice(
@@ -115,14 +117,14 @@
         if notices:
             self._handle(NoticesReceived(self._clock.now_ms(), notices))
 
-    def _on_list_change(self, entries: tuple[ListEntry, ...]) -> None:
+    def _on_list_change(self, entries: tuple[InstanceListEntry, ...]) -> None:
         upstreams = [item for item in entries if item.role is InstanceRole.UPSTREAM]
         leaving = {item.name for item in upstreams if item.is_leaving}
         live = {item.name for item in upstreams} - leaving
         for name in leaving - self._listed_leaving:
-            self.signal(name, DrainSignal.LIST)
+            self.on_signal(name, DrainSignal.LIST)
         for name in live & self._listed_leaving:
-            self.note_back(name, DrainSignal.LIST, self._clock.now_ms())
+            self.on_recovered(name, DrainSignal.LIST, self._clock.now_ms())
         self._listed_leaving = leaving
 
     def _handle(self, event: DrainEvent) -> None:
@@ -136,16 +138,16 @@
     @_perform.register
     def _(self, action: StopCalls) -> None:
         for router in self._directory.routers():
-            router.drain_until(action.replica_name, action.until_ms)
+            router.set_drained_until(action.replica_name, action.until_ms)
 
     @_perform.register
     def _(self, action: ResumeCalls) -> None:
         _log.info("replica is back", extra={"replica": action.replica_name})
         for router in self._directory.routers():
-            router.drain_until(action.replica_name, float("-inf"))
+            router.set_drained_until(action.replica_name, float("-inf"))
 
     @_perform.register
-    def _(self, action: SpreadNews) -> None:
+    def _(self, action: DisseminateNotices) -> None:
         # At most one dissemination runs, to limit the traffic when many replicas
         # drain.
         self._has_unsent_notices = True
@@ -172,7 +174,7 @@
     )
 
 
-class DrainWatchingCaller:
+class DrainDetectingCaller:
     """A shard caller that reports the drains indicated by its calls."""
 
     def __init__(
@@ -201,8 +203,10 @@
         self,
         group: str,
         n_connections: int,
-        kept_ratio: float = 1.0,
-        n_near: int | None = None,
+        connected_ratio: float = 1.0,
+        n_connections_in_zone: int | None = None,
     ) -> None:
         """Set how many connections may be open to each replica of a group."""
-        self._caller.set_connection_budget(group, n_connections, kept_ratio, n_near)
+        self._caller.set_connection_budget(
+            group, n_connections, connected_ratio, n_connections_in_zone
+        )
--- a/chestnuthall/services/_equal_parts.py
+++ b/chestnuthall/services/_equal_quotas.py
@@ -11,7 +11,7 @@
 QUOTA_FACTOR = 3.0
 
 
-class EqualParts:
+class EqualQuotas:
     """Sets this instance's quota of each group's slots from the number of instances.
 
     The ratio of its demand to that of the fleet is unknown, because instances do not
--- a/chestnuthall/services/_fan_out_run.py
+++ b/chestnuthall/services/_fan_out_run.py
@@ -7,7 +7,6 @@
 
 from chestnuthall.core.fanout import (
     Action,
-    Begin,
     CallAnswered,
     CallFailed,
     Cancel,
@@ -17,12 +16,13 @@
     Event,
     FanOut,
     MapReplaced,
+    NotifyPeers,
+    PeersNotified,
+    QueryStarted,
     Replan,
     SetTimer,
     TimerFired,
-    VerdictGiven,
-    Warn,
-    Warned,
+    VerdictReached,
 )
 from chestnuthall.core.model import PartitionMap, ShardAnswer, ShardCall
 from chestnuthall.core.results import Failure
@@ -35,8 +35,8 @@
 class MapSource(Protocol):
     """Source of another partition map if the pinned snapshot is replaced."""
 
-    async def pin_another(
-        self, group_name: str, gone: tuple[int, ...]
+    async def pin_replacement(
+        self, group_name: str, unavailable_snapshot_ids: tuple[int, ...]
     ) -> PartitionMap | None:
         """Return a map of a snapshot that is still available, or None."""
         ...
@@ -48,8 +48,8 @@
     All shard sets of a search have to be of the same snapshot.
     """
 
-    async def pin_another(
-        self, group_name: str, gone: tuple[int, ...]
+    async def pin_replacement(
+        self, group_name: str, unavailable_snapshot_ids: tuple[int, ...]
     ) -> PartitionMap | None:
         """Return None."""
         return None
@@ -94,7 +94,7 @@
         fingerprint = self._fan_out.request.fingerprint
         self._suspects.add_waiter(fingerprint, self._on_verdict)
         try:
-            self._handle(Begin(self._clock.now_ms()))
+            self._handle(QueryStarted(self._clock.now_ms()))
             return await self._done
         finally:
             self._suspects.remove_waiter(fingerprint, self._on_verdict)
@@ -106,7 +106,7 @@
         for task in self._tasks:
             task.cancel()
         if not self._fan_out.is_complete:
-            self._fan_out.abandon(self._clock.now_ms())
+            self._fan_out.cancel(self._clock.now_ms())
         for cancel in self._cancel_by_call_id.values():
             cancel()
 
@@ -134,7 +134,7 @@
         if self._direct_caller is None:
             return None
         started_ms = self._clock.now_ms()
-        return self._direct_caller.begin(
+        return self._direct_caller.start_call(
             call, partial(self._on_result, call, started_ms)
         )
 
@@ -156,7 +156,7 @@
         self._tasks.append(self._loop.create_task(self._replan(action)))
 
     @_perform.register
-    def _(self, action: Warn) -> None:
+    def _(self, action: NotifyPeers) -> None:
         self._tasks.append(self._loop.create_task(self._warn_peers()))
 
     @_perform.register
@@ -168,11 +168,11 @@
         self._handle(TimerFired(self._clock.now_ms()))
 
     def _on_verdict(self) -> None:
-        self._handle(VerdictGiven(self._clock.now_ms()))
+        self._handle(VerdictReached(self._clock.now_ms()))
 
     async def _warn_peers(self) -> None:
         await self._suspects.warn_peers()
-        self._handle(Warned(self._clock.now_ms()))
+        self._handle(PeersNotified(self._clock.now_ms()))
 
     async def _call(self, call: ShardCall) -> None:
         started_ms = self._clock.now_ms()
@@ -192,5 +192,7 @@
 
     async def _replan(self, action: Replan) -> None:
         group = self._fan_out.request.group
-        replacement = await self._directory.pin_another(group, action.gone_snapshot_ids)
+        replacement = await self._directory.pin_replacement(
+            group, action.unavailable_snapshot_ids
+        )
         self._handle(MapReplaced(self._clock.now_ms(), replacement))
--- a/chestnuthall/services/_fleet_use.py
+++ b/chestnuthall/services/_fleet_usage.py
@@ -6,9 +6,9 @@
 
 from chestnuthall.core.admission import (
     DemandHistory,
-    UseLedger,
-    UseNews,
-    part_of_demand,
+    UsageLedger,
+    UsageReport,
+    demand_fraction,
 )
 from chestnuthall.ports import ClassUse, Clock, MemberUpdate, PeerDigest
 from chestnuthall.services._admission import Admissions
@@ -23,7 +23,7 @@
 N_USES_MAX = 28
 
 
-class FleetUse:
+class FleetUsageExchange:
     """Exchanges the service that each class received on each instance.
 
     A digest contains the usage of this instance first, then the latest reports of
@@ -48,13 +48,13 @@
         self._clock = clock
         self._admissions = admissions
         self._read_members = read_members
-        self._ledger = UseLedger()
+        self._ledger = UsageLedger()
         # The start time distinguishes a restarted instance from its predecessor.
         self._incarnation = int(clock.wall_ms())
         self._started_ms = clock.now_ms()
         self._histories: dict[tuple[str, str | None], DemandHistory] = {}
 
-    def fill(self, digest: PeerDigest) -> PeerDigest:
+    def add_to(self, digest: PeerDigest) -> PeerDigest:
         """Return the digest with own usage and the latest reports of others added."""
         own = self._own_uses()
         n_free = max(0, N_USES_MAX - len(own))
@@ -81,16 +81,16 @@
         ]
 
     def _relayed_uses(self) -> list[ClassUse]:
-        return [ClassUse(**asdict(report)) for report in self._ledger.newest()]
+        return [ClassUse(**asdict(report)) for report in self._ledger.newest_reports()]
 
-    def absorb(self, digest: PeerDigest) -> None:
+    def receive(self, digest: PeerDigest) -> None:
         """Count the service in a peer's digest that was not counted before."""
         now_ms = self._clock.now_ms()
         admissions = dict(self._admissions.items())
         for use in digest.uses:
             if use.instance == self._name:
                 continue
-            added_cost = self._ledger.take(UseNews(**asdict(use)), now_ms)
+            added_cost = self._ledger.record(UsageReport(**asdict(use)), now_ms)
             admission = admissions.get(use.group)
             if admission is not None and added_cost > 0.0:
                 admission.on_fleet_use(use.class_name, added_cost)
@@ -137,7 +137,7 @@
         history.add(self._incarnation + now_ms - self._started_ms, own_cost)
         since_ms = now_ms - REPORT_MAX_AGE_MS
         demand = self._ledger.demand_by_instance(group, since_ms, class_name)
-        return part_of_demand(history, demand.values(), n_instances)
+        return demand_fraction(history, demand.values(), n_instances)
 
     async def run(self) -> None:
         """Update quotas and limits until cancelled."""
--- a/chestnuthall/services/_fleet_view.py
+++ b/chestnuthall/services/_fleet_view.py
@@ -13,9 +13,9 @@
 from chestnuthall.core.results import NOT_FOUND, Failure
 from chestnuthall.ports import (
     Clock,
-    InstanceAdmin,
+    InstanceAdminClient,
     InstanceStatus,
-    ListedInstance,
+    InstanceSummary,
     ObjectStore,
     QuarantineEntry,
 )
@@ -30,20 +30,20 @@
 SUCCESS_NAMES = ("OK", "OK_PARTIAL")
 
 MapReader = Callable[[str], PartitionMap | Failure]
-ListedReader = Callable[[str], ListedInstance | Failure]
+ListedReader = Callable[[str], InstanceSummary | Failure]
 ProgressListener = Callable[[int, int], None]
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class InstanceObservation:
     """A listed instance with its status, or the failure of the query."""
 
-    listed: ListedInstance
+    listed: InstanceSummary
     status: InstanceStatus | Failure
 
 
 @dataclass(frozen=True, slots=True)
-class SeenUpstream:
+class ReplicaObservation:
     """A replica of a group's newest map with its own state or a failure."""
 
     group: str
@@ -58,7 +58,7 @@
     def __init__(
         self,
         store: ObjectStore,
-        admin: InstanceAdmin,
+        admin: InstanceAdminClient,
         clock: Clock,
         read_listed: ListedReader,
         read_map: MapReader,
@@ -70,7 +70,7 @@
         self._read_listed = read_listed
         self._request_slots = asyncio.Semaphore(N_CONCURRENT_REQUESTS_MAX)
 
-    async def listed(self) -> tuple[ListedInstance, ...] | Failure:
+    async def listed(self) -> tuple[InstanceSummary, ...] | Failure:
         """Return the platform's list of instances and upstreams."""
         objects = await self._store.list_kind(INSTANCE_KIND, STORE_TIMEOUT_MS)
         if isinstance(objects, Failure):
@@ -78,25 +78,27 @@
         read = [self._read_listed(item.value) for item in objects]
         return tuple(item for item in read if not isinstance(item, Failure))
 
-    async def entries(self) -> tuple[ListedInstance, ...] | Failure:
+    async def entries(self) -> tuple[InstanceSummary, ...] | Failure:
         """Return the entry instances that are not leaving."""
         listed = await self.listed()
         if isinstance(listed, Failure):
             return listed
         return tuple(x for x in listed if x.role == "entry" and x.state == "live")
 
-    async def see(self, instances: tuple[ListedInstance, ...]) -> tuple[Seen, ...]:
+    async def query_status(
+        self, instances: tuple[InstanceSummary, ...]
+    ) -> tuple[InstanceObservation, ...]:
         """Query the status of instances."""
         return tuple(
             await asyncio.gather(*(self._query_status(item) for item in instances))
         )
 
-    async def _query_status(self, listed: ListedInstance) -> Seen:
+    async def _query_status(self, listed: InstanceSummary) -> InstanceObservation:
         async with self._request_slots:
             status = await self._admin.status(listed.address, ADMIN_TIMEOUT_MS)
-        return Seen(listed, status)
+        return InstanceObservation(listed, status)
 
-    async def upstreams(self) -> tuple[SeenUpstream, ...] | Failure:
+    async def upstreams(self) -> tuple[ReplicaObservation, ...] | Failure:
         """Query the state of every replica of the published partition maps."""
         objects = await self._store.list_kind(PARTITION_MAP_KIND, STORE_TIMEOUT_MS)
         if isinstance(objects, Failure):
@@ -116,13 +118,13 @@
 
     async def _query_upstream_state(
         self, group: str, shard_id: str, replica: Replica
-    ) -> SeenUpstream:
+    ) -> ReplicaObservation:
         async with self._request_slots:
             state = await self._admin.upstream_state(replica.address, ADMIN_TIMEOUT_MS)
-        return SeenUpstream(group, shard_id, replica, state)
+        return ReplicaObservation(group, shard_id, replica, state)
 
     async def announce(
-        self, instances: tuple[ListedInstance, ...], stored_text: str
+        self, instances: tuple[InstanceSummary, ...], stored_text: str
     ) -> int:
         """Send an accepted revision to instances; return how many accepted it.
 
@@ -134,18 +136,18 @@
         )
         return sum(1 for result in results if not isinstance(result, Failure))
 
-    async def _announce(self, listed: ListedInstance, text: str) -> int | Failure:
+    async def _announce(self, listed: InstanceSummary, text: str) -> int | Failure:
         async with self._request_slots:
             return await self._admin.announce(listed.address, text, ADMIN_TIMEOUT_MS)
 
     async def wait_in_force(
         self,
-        instances: tuple[ListedInstance, ...],
+        instances: tuple[InstanceSummary, ...],
         record: RevisionRecord,
         timeout_ms: float,
         on_progress: ProgressListener,
         interval_ms: float = 200.0,
-    ) -> tuple[Seen, ...]:
+    ) -> tuple[InstanceObservation, ...]:
         """Wait until every instance has a revision, or a later one, in force.
 
         Return the instances that do not have it at the timeout, which include
@@ -153,7 +155,7 @@
         """
         expires_at_ms = self._clock.now_ms() + timeout_ms
         while True:
-            seen = await self.see(instances)
+            seen = await self.query_status(instances)
             seen = tuple(
                 x for x in seen if _may_be_in_environment(x, record.environment)
             )
@@ -166,11 +168,11 @@
     async def evidence(
         self,
         record: RevisionRecord,
-        instances: tuple[ListedInstance, ...],
+        instances: tuple[InstanceSummary, ...],
         fast_burn_classes: tuple[str, ...],
     ) -> TrialEvidence:
         """Return the evidence of an environment's instances about a revision."""
-        seen = await self.see(instances)
+        seen = await self.query_status(instances)
         statuses = [item.status for item in seen]
         return TrialEvidence(
             record=record,
@@ -198,7 +200,9 @@
                     item.address, name, ADMIN_TIMEOUT_MS
                 )
         known = ", ".join(item.name for item in instances)
-        return NOT_FOUND.because(f"no live instance named {name!r}; there are {known}")
+        return NOT_FOUND.with_reason(
+            f"no live instance named {name!r}; there are {known}"
+        )
 
     async def drain_upstream(self, name: str) -> dict[str, Failure | None] | Failure:
         """Request that no instance send new calls to an upstream replica."""
@@ -244,12 +248,12 @@
         return {x.name: result for x, result in zip(instances, results, strict=True)}
 
 
-def _may_be_in_environment(seen: Seen, environment: str) -> bool:
+def _may_be_in_environment(seen: InstanceObservation, environment: str) -> bool:
     status = seen.status
     return isinstance(status, Failure) or status.environment == environment
 
 
-def _has_revision(seen: Seen, record: RevisionRecord) -> bool:
+def _has_revision(seen: InstanceObservation, record: RevisionRecord) -> bool:
     status = seen.status
     return not isinstance(status, Failure) and status.revision >= record.revision
 
--- a/chestnuthall/services/_membership.py
+++ b/chestnuthall/services/_membership.py
@@ -10,32 +10,32 @@
 
 from chestnuthall.core.fanout import PartialAnswer
 from chestnuthall.core.membership import (
-    AddressTaken,
+    AddressReused,
     CountsChanged,
+    DigestReceived,
     FleetCounts,
+    IndirectProbe,
+    InstanceListRead,
     LeaveAnnounced,
     LeaveFinished,
     ListedInstance,
-    ListRead,
-    MemberNews,
+    MemberRecord,
     MembershipAction,
     MembershipEvent,
     MembershipMachine,
     MembershipSettings,
     MemberState,
-    NewsReceived,
     Probe,
     ProbeAnswered,
     ProbeFailed,
-    ProbeThrough,
     Superseded,
     Tick,
 )
 from chestnuthall.core.results import NOT_READY, Failure
 from chestnuthall.ports import (
     Clock,
+    InstanceListEntry,
     InstanceRole,
-    ListEntry,
     MemberUpdate,
     PeerConfiguration,
     PeerDigest,
@@ -58,14 +58,14 @@
 _STATES = {state.value: state for state in MemberState}
 
 
-class DigestPart(Protocol):
+class DigestSection(Protocol):
     """A service that exchanges a section of the digest with each probe."""
 
-    def fill(self, digest: PeerDigest) -> PeerDigest:
+    def add_to(self, digest: PeerDigest) -> PeerDigest:
         """Return the digest with this service's section added."""
         ...
 
-    def absorb(self, digest: PeerDigest) -> None:
+    def receive(self, digest: PeerDigest) -> None:
         """Process this service's section of a peer's digest."""
         ...
 
@@ -90,7 +90,7 @@
         configuration: ConfigurationKeeper,
         instances: InstanceList,
         random: Random,
-        parts: Sequence[DigestPart] = (),
+        sections: Sequence[DigestSection] = (),
         settings: MembershipSettings | None = None,
     ) -> None:
         self._identity = identity
@@ -98,13 +98,13 @@
         self._clock = clock
         self._configuration = configuration
         self._random = random
-        self._sections = list(parts)
+        self._sections = list(sections)
         self._settings = settings or MembershipSettings()
         # The start time makes the incarnation of a restarted instance higher
         # than that of its predecessor, without any stored state.
         incarnation = int(clock.wall_ms())
         self._machine = MembershipMachine(
-            MemberNews(
+            MemberRecord(
                 identity.name,
                 identity.peer_address,
                 identity.zone,
@@ -141,7 +141,7 @@
         """Number of live instances of the fleet, including this one."""
         return max(1, self.counts.n_live)
 
-    def add_part(self, section: DigestPart) -> None:
+    def add_section(self, section: DigestSection) -> None:
         """Add the section of a service to the digests."""
         self._sections.append(section)
 
@@ -166,10 +166,10 @@
             incarnation=self._machine.own.incarnation,
             configuration_revision=self._configuration.revision,
             configuration_digest="" if in_force is None else in_force.digest,
-            members=tuple(map(_update_of, self._machine.take_news(recipient))),
+            members=tuple(map(_update_of, self._machine.select_updates(recipient))),
         )
         for section in self._sections:
-            digest = section.fill(digest)
+            digest = section.add_to(digest)
         return digest
 
     async def receive(self, digest: PeerDigest) -> PeerDigest:
@@ -202,7 +202,7 @@
     async def query_shards(self, call: ShardSetCall) -> PartialAnswer | Failure:
         """Answer for a set of shards, if the two-level fan-out is enabled."""
         if self._shard_set_handler is None:
-            return NOT_READY.because("the two-level fan-out is off")
+            return NOT_READY.with_reason("the two-level fan-out is off")
         return await self._shard_set_handler(call)
 
     def set_shard_set_handler(self, handler: ShardSetHandler) -> None:
@@ -219,7 +219,7 @@
             for task in tuple(self._tasks):
                 task.cancel()
 
-    async def spread_now(self, n_peers: int) -> None:
+    async def disseminate_now(self, n_peers: int) -> None:
         """Exchange digests with random peers at once, for urgent notices."""
         peers = self._machine.members()
         chosen = self._random.sample(peers, min(n_peers, len(peers)))
@@ -228,20 +228,20 @@
     async def announce_leave(self) -> None:
         """Notify peers that this instance is leaving."""
         self._handle(LeaveAnnounced(self._clock.now_ms()))
-        await self.spread_now(N_URGENT_PEERS)
+        await self.disseminate_now(N_URGENT_PEERS)
 
     async def finish_leave(self) -> None:
         """Notify peers that this instance has left, so that none probes it."""
         self._handle(LeaveFinished(self._clock.now_ms()))
-        await self.spread_now(N_URGENT_PEERS)
+        await self.disseminate_now(N_URGENT_PEERS)
 
-    def _process_list(self, entries: tuple[ListEntry, ...]) -> None:
+    def _process_list(self, entries: tuple[InstanceListEntry, ...]) -> None:
         listed = tuple(
             ListedInstance(item.name, item.peer_address, item.zone, item.is_leaving)
             for item in entries
             if item.role is InstanceRole.ENTRY
         )
-        self._handle(ListRead(self._clock.now_ms(), listed))
+        self._handle(InstanceListRead(self._clock.now_ms(), listed))
 
     def _handle(self, event: MembershipEvent) -> None:
         for action in self._machine.handle(event):
@@ -256,7 +256,7 @@
         self._spawn(self._probe(action))
 
     @_perform.register
-    def _(self, action: ProbeThrough) -> None:
+    def _(self, action: IndirectProbe) -> None:
         self._spawn(self._probe_indirectly(action))
 
     @_perform.register
@@ -289,10 +289,10 @@
         if answer.sender == action.name:
             self._handle(ProbeAnswered(now_ms, action.probe_id))
         else:
-            self._handle(AddressTaken(now_ms, action.probe_id))
+            self._handle(AddressReused(now_ms, action.probe_id))
         self._process_digest(answer)
 
-    async def _probe_indirectly(self, action: ProbeThrough) -> None:
+    async def _probe_indirectly(self, action: IndirectProbe) -> None:
         is_alive = await self._peers.probe_for(
             action.helper_address,
             action.target_address,
@@ -301,7 +301,7 @@
         outcome = ProbeAnswered if is_alive is True else ProbeFailed
         self._handle(outcome(self._clock.now_ms(), action.probe_id))
 
-    async def _exchange_with(self, peer: MemberNews) -> None:
+    async def _exchange_with(self, peer: MemberRecord) -> None:
         answer = await self._peers.exchange(
             peer.address, self.digest(peer.name), self._settings.probe_timeout_ms
         )
@@ -310,9 +310,9 @@
 
     def _process_digest(self, digest: PeerDigest) -> None:
         sender, others = _records_of(digest)
-        self._handle(NewsReceived(self._clock.now_ms(), sender, others))
+        self._handle(DigestReceived(self._clock.now_ms(), sender, others))
         for section in self._sections:
-            section.absorb(digest)
+            section.receive(digest)
         # The answer to the peer does not wait for the configuration, because the
         # peer would take a slow answer for a failed probe.
         revision = digest.configuration_revision
@@ -331,18 +331,18 @@
             self._configuration.offer_text(fetched.text, f"peer {digest.sender}")
 
 
-def _update_of(record: MemberNews) -> MemberUpdate:
+def _update_of(record: MemberRecord) -> MemberUpdate:
     return MemberUpdate(
         record.name, record.address, record.zone, record.state.value, record.incarnation
     )
 
 
-def _records_of(digest: PeerDigest) -> tuple[MemberNews, tuple[MemberNews, ...]]:
+def _records_of(digest: PeerDigest) -> tuple[MemberRecord, tuple[MemberRecord, ...]]:
     """Return the sender's record of itself, and its records of other instances.
 
     Records with a state that this version does not know are skipped.
     """
-    sender = MemberNews(
+    sender = MemberRecord(
         digest.sender, digest.sender_address, "", MemberState.ALIVE, digest.incarnation
     )
     others = []
@@ -350,7 +350,9 @@
         state = _STATES.get(item.state)
         if state is None:
             continue
-        record = MemberNews(item.name, item.address, item.zone, state, item.incarnation)
+        record = MemberRecord(
+            item.name, item.address, item.zone, state, item.incarnation
+        )
         if record.name == digest.sender:
             sender = record
         else:
--- a/chestnuthall/services/_object_feed.py
+++ b/chestnuthall/services/_object_feed.py
@@ -89,11 +89,11 @@
         ends_at_ms = self._clock.now_ms() + timeout_ms
         while True:
             if not self.is_loaded or self.age_ms > self._age_max_ms:
-                return STORE_UNAVAILABLE.because(
+                return STORE_UNAVAILABLE.with_reason(
                     "the store has not confirmed the feed recently"
                 )
             if after_version < self._complete_from_version:
-                return HISTORY_TRIMMED.because("the changes are no longer kept")
+                return HISTORY_TRIMMED.with_reason("the changes are no longer kept")
             batch = self._changes_after(after_version)
             left_ms = ends_at_ms - self._clock.now_ms()
             if batch.changed or batch.deleted_names or left_ms <= 0.0:
--- a/chestnuthall/services/_peer_sets.py
+++ b/chestnuthall/services/_peer_sets.py
@@ -4,9 +4,9 @@
 
 from chestnuthall.core.model import Replica, Shard, ShardAnswer, ShardCall
 from chestnuthall.core.results import Failure
-from chestnuthall.core.routing import HashRing, bundle_far_shards
+from chestnuthall.core.routing import HashRing, combine_remote_shards
 from chestnuthall.ports import (
-    CallListener,
+    CallCallback,
     CancelCall,
     DirectShardCaller,
     ShardCaller,
@@ -18,7 +18,7 @@
 N_PEERS_MAX = 6
 
 
-class PeerSets:
+class PeerShardSets:
     """Combines remote shards into sets that peers in their zones answer for."""
 
     def __init__(
@@ -33,9 +33,9 @@
         self._known_peers: Sequence[InstanceEntry] = ()
         self._chosen_by_zones: dict[frozenset[str], tuple[Replica, ...]] = {}
 
-    def bundle(self, shards: Sequence[Shard]) -> tuple[Shard, ...]:
+    def combine_shards(self, shards: Sequence[Shard]) -> tuple[Shard, ...]:
         """Return the shards, with remote ones combined where a peer is nearer."""
-        return bundle_far_shards(shards, self._own_zone, self._peers_in_zones)
+        return combine_remote_shards(shards, self._own_zone, self._peers_in_zones)
 
     def _peers_in_zones(self, zones: frozenset[str]) -> tuple[Replica, ...]:
         """Return a few peers in the zones; the choice differs between instances."""
@@ -78,20 +78,22 @@
         """Run one call and return the complete answer that echoes its id."""
         return await self._caller_for(call).call(call)
 
-    def begin(self, call: ShardCall, on_result: CallListener) -> CancelCall | None:
+    def start_call(self, call: ShardCall, on_result: CallCallback) -> CancelCall | None:
         """Start a call and return the function that cancels it.
 
         Return None if the call cannot be started without waiting.
         """
         direct = self._direct_callers[call.shard_set is not None]
-        return None if direct is None else direct.begin(call, on_result)
+        return None if direct is None else direct.start_call(call, on_result)
 
     def set_connection_budget(
         self,
         group: str,
         n_connections: int,
-        kept_ratio: float = 1.0,
-        n_near: int | None = None,
+        connected_ratio: float = 1.0,
+        n_connections_in_zone: int | None = None,
     ) -> None:
         """Set how many connections may be open to each replica of a group."""
-        self._replicas.set_connection_budget(group, n_connections, kept_ratio, n_near)
+        self._replicas.set_connection_budget(
+            group, n_connections, connected_ratio, n_connections_in_zone
+        )
--- a/chestnuthall/services/_quarantine_news.py
+++ b/chestnuthall/services/_quarantine_exchange.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, replace
 
 from chestnuthall.core.quarantine import (
-    QuarantineRegister,
+    QuarantineRegistry,
     Suspicion,
     SuspicionState,
 )
@@ -33,7 +33,7 @@
     n_sent: int = 0
 
 
-class QuarantineNews:
+class QuarantineExchange:
     """Exchanges notices of replica losses and of lifted quarantines with peers.
 
     ``zone_of`` returns the availability zone of a replica by its name. A notice
@@ -43,7 +43,7 @@
 
     def __init__(
         self,
-        registry: QuarantineRegister,
+        registry: QuarantineRegistry,
         clock: Clock,
         disseminate: Callable[[int], Awaitable[None]],
         zone_of: Callable[[str], str] = lambda replica_name: replica_name,
@@ -56,9 +56,15 @@
         self._has_unsent_notices = False
         registry.on_change(self._on_change)
 
-    def _on_change(self, fingerprint: str, state: SuspicionState, is_own: bool) -> None:
+    def _on_change(
+        self, fingerprint: str, state: SuspicionState, is_local: bool
+    ) -> None:
         """Create a lift notice for a suspicion that this instance cleared."""
-        if state is SuspicionState.CLEARED and is_own and fingerprint in self._notices:
+        if (
+            state is SuspicionState.CLEARED
+            and is_local
+            and fingerprint in self._notices
+        ):
             self._create_notice(
                 fingerprint, frozenset(), self._clock.now_ms() + LIFT_RETENTION_MS
             )
@@ -89,7 +95,7 @@
         await self._disseminate(N_URGENT_PEERS)
         return was_known
 
-    def fill(self, digest: PeerDigest) -> PeerDigest:
+    def add_to(self, digest: PeerDigest) -> PeerDigest:
         """Return the digest with the quarantine notices added."""
         self._record_own_losses()
         now_ms = self._clock.now_ms()
@@ -113,7 +119,7 @@
             fingerprint, names, entry.expires_ms - now_ms, entry.sequence
         )
 
-    def absorb(self, digest: PeerDigest) -> None:
+    def receive(self, digest: PeerDigest) -> None:
         """Apply the quarantine notices of a peer."""
         self._record_own_losses()
         for notice in digest.quarantines:
--- a/chestnuthall/services/_query.py
+++ b/chestnuthall/services/_query.py
@@ -11,8 +11,8 @@
     Completion,
     FanOut,
     FanOutContext,
+    call_type_of,
     target_shards,
-    work_of,
 )
 from chestnuthall.core.model import (
     Account,
@@ -30,9 +30,9 @@
     SearchRequest,
     Shard,
     UpstreamGroup,
-    kind_of,
+    request_kind,
 )
-from chestnuthall.core.quarantine import QuarantineRegister
+from chestnuthall.core.quarantine import QuarantineRegistry
 from chestnuthall.core.results import (
     DEADLINE_PASSED,
     NOT_READY,
@@ -40,8 +40,8 @@
     UNKNOWN_CLASS,
     UNKNOWN_GROUP,
     Failure,
-    Repeat,
     ResultCode,
+    RetryAdvice,
     RunState,
 )
 from chestnuthall.core.routing import (
@@ -55,7 +55,7 @@
     Admissions,
     Admitted,
     NotAdmitted,
-    account_of_unqueued,
+    unqueued_account,
 )
 from chestnuthall.services._claims import ClaimLedger
 from chestnuthall.services._configuration import ConfigurationKeeper
@@ -68,7 +68,7 @@
     bound_deadline,
     class_for_shard_set,
     failure_without_replicas,
-    may_be_bundled,
+    may_be_combined,
     n_slots,
 )
 from chestnuthall.services._suspects import Suspects
@@ -108,9 +108,10 @@
 class QueryService:
     """Serves the requests of callers and peers: searches, lookups and mutations.
 
-    Each request is planned, admitted and run over its shards. ``bundle`` combines
-    shards into sets that peers answer for, ``spread`` sends the quarantine notices
-    to peers, and ``shared_budget`` replaces the extra-load budgets of the classes.
+    Each request is planned, admitted and run over its shards. ``combine_shards``
+    combines shards into sets that peers answer for, ``disseminate`` sends the
+    quarantine notices to peers, and ``shared_budget`` replaces the extra-load budgets
+    of the classes.
     """
 
     def __init__(
@@ -123,17 +124,17 @@
         directory: GroupDirectory,
         configuration: ConfigurationKeeper,
         ledger: ClaimLedger | None,
-        quarantine: QuarantineRegister,
+        quarantine: QuarantineRegistry,
         admissions: Admissions,
         record_outcome: Callable[[Outcome], None] | None = None,
-        spread: Callable[[], Awaitable[None]] | None = None,
+        disseminate: Callable[[], Awaitable[None]] | None = None,
         n_instances: Callable[[], int] = lambda: 1,
         shared_budget: ExtraLoad | None = None,
         retry_after_ms: float = RETRY_AFTER_MS,
         decision_log: DecisionLog | None = None,
-        bundle: Callable[[Sequence[Shard]], tuple[Shard, ...]] | None = None,
+        combine_shards: Callable[[Sequence[Shard]], tuple[Shard, ...]] | None = None,
     ) -> None:
-        self._bundle = bundle
+        self._combine_shards = combine_shards
         self._decision_log = decision_log
         self._retry_after_ms = retry_after_ms
         self._record_outcome = record_outcome
@@ -145,7 +146,7 @@
         self._configuration = configuration
         self._ledger = ledger
         self._quarantine = quarantine
-        self._suspects = Suspects(quarantine, clock, spread)
+        self._suspects = Suspects(quarantine, clock, disseminate)
         self._n_instances = n_instances
         self._utilisation: dict[str, UtilisationAverage] = {}
         self._admissions = admissions
@@ -199,7 +200,7 @@
             request,
             self._clock.wall_ms(),
             self._configuration.revision,
-            account_of_unqueued(),
+            unqueued_account(),
         )
         try:
             outcome = await self._serve(progress)
@@ -207,9 +208,9 @@
             self._record_abandoned(request)
             raise
         code = _result_code_of(outcome)
-        self._metrics.count(f"requests.{kind_of(request)}.{code.name.lower()}")
+        self._metrics.count(f"requests.{request_kind(request)}.{code.name.lower()}")
         duration_ms = self._clock.now_ms() - request.arrived_ms
-        self._metrics.timing(f"request_ms.{kind_of(request)}", duration_ms)
+        self._metrics.timing(f"request_ms.{request_kind(request)}", duration_ms)
         if self._record_outcome is not None:
             self._record_outcome(outcome)
         if self._decision_log is not None:
@@ -217,7 +218,7 @@
         return outcome
 
     def _record_abandoned(self, request: Request) -> None:
-        self._metrics.count(f"requests.{kind_of(request)}.abandoned")
+        self._metrics.count(f"requests.{request_kind(request)}.abandoned")
         if self._decision_log is not None:
             self._decision_log.request_abandoned(request)
 
@@ -253,18 +254,22 @@
     def _plan(self, request: Request) -> _Plan | Failure:
         configuration = self._configuration.in_force
         if configuration is None:
-            return NOT_READY.because("no configuration is in force")
-        caller_class = configuration.document.class_named(request.class_name)
+            return NOT_READY.with_reason("no configuration is in force")
+        caller_class = configuration.document.find_class(request.class_name)
         if caller_class is None:
-            return UNKNOWN_CLASS.because(f"no class named {request.class_name!r}")
-        group = configuration.document.group_named(request.group)
+            return UNKNOWN_CLASS.with_reason(f"no class named {request.class_name!r}")
+        group = configuration.document.find_group(request.group)
         if group is None:
-            return UNKNOWN_GROUP.because(f"no upstream group named {request.group!r}")
+            return UNKNOWN_GROUP.with_reason(
+                f"no upstream group named {request.group!r}"
+            )
         if self._quarantine.is_quarantined(request.fingerprint, self._clock.now_ms()):
-            return QUARANTINED.because("earlier runs of the request lost replicas")
+            return QUARANTINED.with_reason("earlier runs of the request lost replicas")
         partition_map = self._directory.pin(request.group)
         if partition_map is None:
-            return NOT_READY.because(f"no partition map of {request.group!r} is known")
+            return NOT_READY.with_reason(
+                f"no partition map of {request.group!r} is known"
+            )
         budget = self._budgets[request.class_name]
         caller_class = class_for_shard_set(request, caller_class)
         return _Plan(caller_class, group, partition_map, budget)
@@ -295,7 +300,7 @@
         progress.admitted_wall_ms = self._clock.wall_ms()
         if self._clock.now_ms() >= request.deadline_ms:
             self._release_claim(progress)
-            failure = DEADLINE_PASSED.because("the deadline passed before dispatch")
+            failure = DEADLINE_PASSED.with_reason("the deadline passed before dispatch")
             return self._refuse(progress, failure)
         # The map is pinned again after the queue, because the snapshot may have
         # been replaced while the request waited.
@@ -308,8 +313,8 @@
             utilisation_ratio=max(
                 self._sample_utilisation(plan, ticket), admission.utilisation_ratio
             ),
-            work=work_of(request),
-            bundle=self._bundle if may_be_bundled(request) else None,
+            call_type=call_type_of(request),
+            combine_shards=self._combine_shards if may_be_combined(request) else None,
         )
         if self._divided_search is not None and isinstance(request, SearchRequest):
             completion = await self._divided_search(request, partition_map, context)
@@ -341,7 +346,7 @@
         )
         return await run.complete()
 
-    def divide_searches(self, search: DividedSearch) -> None:
+    def set_divided_search(self, search: DividedSearch) -> None:
         """Set the function that divides each search over several instances."""
         self._divided_search = search
 
@@ -358,15 +363,17 @@
         )
         return await run.complete()
 
-    def read_context(self, class_name: str, group_name: str) -> FanOutContext | Failure:
+    def fan_out_context(
+        self, class_name: str, group_name: str
+    ) -> FanOutContext | Failure:
         """Return the context in which this instance runs a peer's shard set."""
         configuration = self._configuration.in_force
         if configuration is None:
-            return NOT_READY.because("no configuration is in force")
-        caller_class = configuration.document.class_named(class_name)
-        group = configuration.document.group_named(group_name)
+            return NOT_READY.with_reason("no configuration is in force")
+        caller_class = configuration.document.find_class(class_name)
+        group = configuration.document.find_group(group_name)
         if caller_class is None or group is None:
-            return NOT_READY.because(
+            return NOT_READY.with_reason(
                 "this instance does not know the class or the group"
             )
         return FanOutContext(
@@ -407,7 +414,7 @@
             configuration_revision=progress.revision,
             account=self._account(progress, code, completion),
             reply=completion.reply,
-            parts=completion.parts,
+            replica_replies=completion.shard_replies,
         )
 
     def _refuse(
@@ -416,12 +423,12 @@
         failure: Failure,
         completion: Completion | None = None,
     ) -> Refusal:
-        run, repeat = _run_and_repeat(progress, failure, completion)
-        is_safe_to_repeat = run is RunState.NO and repeat is Repeat.SAFE
+        run_state, repeat = _run_and_repeat(progress, failure, completion)
+        is_safe_to_repeat = run_state is RunState.NO and repeat is RetryAdvice.SAFE
         return Refusal(
             request_id=progress.request.request_id,
             failure=failure,
-            run=run,
+            run_state=run_state,
             repeat=repeat,
             configuration_revision=progress.revision,
             account=self._account(progress, failure.code, completion),
@@ -438,7 +445,7 @@
             instance=self._identity.name,
             zone=self._identity.zone,
             class_name=request.class_name,
-            kind=kind_of(request),
+            kind=request_kind(request),
             group=request.group,
             arrived_wall_ms=progress.arrived_wall_ms,
             admitted_wall_ms=progress.admitted_wall_ms,
@@ -462,7 +469,7 @@
 
 def _run_and_repeat(
     progress: _Progress, failure: Failure, completion: Completion | None
-) -> tuple[RunState, Repeat]:
+) -> tuple[RunState, RetryAdvice]:
     """Return whether a refused request was run, and whether it may be repeated.
 
     Before the fan-out, the kind of the failure states both, as far as they are
@@ -472,9 +479,13 @@
     A mutation whose key stays claimed needs a new key to be repeated.
     """
     kind = failure.kind
-    run, repeat = kind.run, kind.repeat
+    run_state, repeat = kind.run, kind.repeat
     if completion is not None:
-        run = completion.run
-    if progress.claim is not None and run is RunState.NO and repeat is Repeat.SAFE:
-        repeat = Repeat.NEW_KEY
-    return run, repeat
+        run_state = completion.run_state
+    if (
+        progress.claim is not None
+        and run_state is RunState.NO
+        and repeat is RetryAdvice.SAFE
+    ):
+        repeat = RetryAdvice.NEW_KEY
+    return run_state, repeat
--- a/chestnuthall/services/_query_rules.py
+++ b/chestnuthall/services/_query_rules.py
@@ -39,7 +39,7 @@
     reachable = reachable_ratio(target_shards(request, partition_map))
     if reachable > 0.0 and reachable >= floor:
         return None
-    return NO_REPLICA.because(
+    return NO_REPLICA.with_reason(
         f"replicas are known for {reachable:.4f} of the index, the floor is {floor:.4f}"
     )
 
@@ -58,7 +58,7 @@
     )
 
 
-def may_be_bundled(request: Request) -> bool:
+def may_be_combined(request: Request) -> bool:
     """Return whether peers may answer for some shards of a request.
 
     A request by a peer for a set of shards is not divided further.
--- a/chestnuthall/services/_relay.py
+++ b/chestnuthall/services/_relay.py
@@ -9,7 +9,7 @@
     RelayedRequest,
     Route,
     ScatterRequest,
-    WeightedSplit,
+    WeightedRoundRobin,
     reachable_ratio,
 )
 from chestnuthall.core.results import NOT_FOUND, NOT_READY, Failure
@@ -55,7 +55,7 @@
         self._query = query
         self._directory = directory
         self._configuration = configuration
-        self._splits: dict[str, WeightedSplit] = {}
+        self._splits: dict[str, WeightedRoundRobin] = {}
         self._floor_by_group: dict[str, float] = {}
         configuration.on_change(self._remove_changed_splits)
         configuration.on_change(self._update_floors)
@@ -84,7 +84,7 @@
                 lowest = self._floor_by_group.get(target.group, floor)
                 self._floor_by_group[target.group] = min(lowest, floor)
 
-    def reaches_floors(self) -> bool:
+    def can_reach_coverage_floors(self) -> bool:
         """Return whether enough shards of every searched group have replicas.
 
         If not, the configuration or the directory of this instance is outdated, or
@@ -100,10 +100,10 @@
         """Serve a call; a ``Failure`` means that it has no route."""
         configuration = self._configuration.in_force
         if configuration is None:
-            return NOT_READY.because("no configuration is in force")
+            return NOT_READY.with_reason("no configuration is in force")
         route = configuration.document.routes.match(call.host, call.path)
         if route is None:
-            return NOT_FOUND.because(f"no route for {call.host}{call.path[:80]}")
+            return NOT_FOUND.with_reason(f"no route for {call.host}{call.path[:80]}")
         return await self._query.serve(self._request(call, route))
 
     def _request(self, call: RelayCall, route: Route) -> RelayedRequest:
@@ -149,7 +149,7 @@
             return route.targets[0].group
         split = self._splits.get(route.name)
         if split is None:
-            split = self._splits[route.name] = WeightedSplit(route.targets)
+            split = self._splits[route.name] = WeightedRoundRobin(route.targets)
         return split.next().group
 
 
--- a/chestnuthall/services/_service_directory.py
+++ b/chestnuthall/services/_service_directory.py
@@ -9,17 +9,17 @@
 
 from chestnuthall.core.configuration import (
     WATCH_TIMEOUT_MS,
-    FollowAction,
-    FollowEvent,
-    Load,
-    Loaded,
-    Pause,
-    PauseEnded,
-    StoreFailed,
-    StoreFollower,
+    Delay,
+    DelayEnded,
+    FollowerAction,
+    FollowerEvent,
+    ObjectFollower,
+    ObjectRead,
+    ReadObject,
+    StoreCallFailed,
     Watch,
     WatchEnded,
-    WatchTrimmed,
+    WatchHistoryTrimmed,
 )
 from chestnuthall.core.model import (
     KeyRange,
@@ -29,10 +29,10 @@
     UpstreamGroup,
 )
 from chestnuthall.core.registry import (
-    Change,
-    ChangeKind,
     Registration,
-    ReplicaRegister,
+    ReplicaChange,
+    ReplicaChangeKind,
+    ReplicaRegistry,
 )
 from chestnuthall.core.results import HISTORY_TRIMMED, Failure
 from chestnuthall.core.routing import Router, RouterSettings
@@ -79,7 +79,7 @@
         connections: ReplicaConnections,
         clock: Clock,
         read: RegistrationReader,
-        register: ReplicaRegister,
+        registry: ReplicaRegistry,
         router_settings: RouterSettings,
         random: Random,
         watch_timeout_ms: float = WATCH_TIMEOUT_MS,
@@ -88,11 +88,11 @@
         self._connections = connections
         self._clock = clock
         self._read = read
-        self._register = register
+        self._registry = registry
         self._router = Router(router_settings, random)
         self._groups: dict[str, UpstreamGroup] = {}
         self._maps: dict[str, tuple[int, float, PartitionMap]] = {}
-        self._follower = StoreFollower(watch_timeout_ms)
+        self._follower = ObjectFollower(watch_timeout_ms)
         self._invalid_entry_reasons: dict[str, str] = {}
         self._expiry_timer: asyncio.TimerHandle | None = None
         self._is_loaded = False
@@ -105,11 +105,11 @@
     @property
     def n_replicas(self) -> int:
         """Number of known replicas."""
-        return len(self._register)
+        return len(self._registry)
 
     def registrations(self) -> tuple[Registration, ...]:
         """Return the registrations in force, in the form that a peer can adopt."""
-        return self._register.registrations()
+        return self._registry.registrations()
 
     def add_group(self, group: UpstreamGroup) -> None:
         """Define the services of a group; groups of earlier revisions are kept."""
@@ -133,7 +133,7 @@
         if group is None:
             return None
         now_ms = self._clock.now_ms()
-        version = self._register.version
+        version = self._registry.version
         cached = self._maps.get(group_name)
         if cached and cached[0] == version and now_ms - cached[1] < MAP_LIFETIME_MS:
             return cached[2]
@@ -142,7 +142,7 @@
                 service,
                 KeyRange("", ""),
                 1,
-                self._register.replicas_of(service, now_ms),
+                self._registry.replicas_of(service, now_ms),
             )
             for service in group.shard_ids
         )
@@ -150,41 +150,43 @@
         self._maps[group_name] = (version, now_ms, partition_map)
         return partition_map
 
-    async def pin_another(
-        self, group_name: str, gone: tuple[int, ...]
+    async def pin_replacement(
+        self, group_name: str, unavailable_snapshot_ids: tuple[int, ...]
     ) -> PartitionMap | None:
         """Return None; these upstreams have no snapshots to become unavailable."""
         return None
 
     async def run(self) -> None:
         """Follow the registrations until cancelled."""
-        event = await self._perform(Load())
+        event = await self._perform(ReadObject())
         while True:
             event = await self._perform(self._follower.handle(event))
 
     @singledispatchmethod
-    async def _perform(self, action: FollowAction) -> FollowEvent:
+    async def _perform(self, action: FollowerAction) -> FollowerEvent:
         raise TypeError(f"not an action: {type(action).__name__}")
 
     @_perform.register
-    async def _(self, action: Load) -> FollowEvent:
+    async def _(self, action: ReadObject) -> FollowerEvent:
         listed = await self._store.list_kind(REGISTRATION_KIND, STORE_TIMEOUT_MS)
         now_ms = self._clock.now_ms()
         if isinstance(listed, Failure):
             _log.warning(
                 "cannot list registrations", extra={"result_code": listed.code}
             )
-            return StoreFailed(now_ms)
+            return StoreCallFailed(now_ms)
         found = [item for item in map(self._read_entry, listed) if item is not None]
-        self._apply(self._register.replace_all(found, now_ms))
+        self._apply(self._registry.replace_all(found, now_ms))
         if not listed:
             # An empty listing has no version from which to watch.
-            return StoreFailed(now_ms)
+            return StoreCallFailed(now_ms)
         self._is_loaded = True
-        return Loaded(now_ms, max(item.seen_version or item.version for item in listed))
+        return ObjectRead(
+            now_ms, max(item.seen_version or item.version for item in listed)
+        )
 
     @_perform.register
-    async def _(self, action: Watch) -> FollowEvent:
+    async def _(self, action: Watch) -> FollowerEvent:
         batch = await self._store.watch(
             REGISTRATION_KIND, action.after_version, self._follower.watch_timeout_ms
         )
@@ -194,27 +196,27 @@
                 "watch of registrations ended", extra={"result_code": batch.code}
             )
             if batch.kind is HISTORY_TRIMMED:
-                return WatchTrimmed(now_ms)
-            return StoreFailed(now_ms)
+                return WatchHistoryTrimmed(now_ms)
+            return StoreCallFailed(now_ms)
         for stored in batch.changed:
             self._apply_changed(stored, now_ms)
         for name in batch.deleted_names:
-            self._apply(self._register.remove(name, now_ms))
+            self._apply(self._registry.mark_missing(name, now_ms))
         n_changes = len(batch.changed) + len(batch.deleted_names)
         return WatchEnded(now_ms, batch.version, n_changes == 0, n_changes)
 
     @_perform.register
-    async def _(self, action: Pause) -> FollowEvent:
+    async def _(self, action: Delay) -> FollowerEvent:
         await self._clock.sleep_ms(action.duration_ms)
         now_ms = self._clock.now_ms()
-        return PauseEnded(now_ms, is_watcher=True, confirmed_ms=now_ms)
+        return DelayEnded(now_ms, is_watcher=True, confirmed_ms=now_ms)
 
     def _apply_changed(self, stored: StoredObject, now_ms: float) -> None:
         registration = self._read_entry(stored)
         if registration is None:
-            self._apply(self._register.drop(stored.name))
+            self._apply(self._registry.remove(stored.name))
         else:
-            self._apply(self._register.put(registration, now_ms))
+            self._apply(self._registry.put(registration, now_ms))
 
     def _read_entry(self, stored: StoredObject) -> Registration | None:
         """Return a registration, or None if it defines no usable replica."""
@@ -231,24 +233,24 @@
             )
         return None
 
-    def _apply(self, changes: list[Change]) -> None:
+    def _apply(self, changes: list[ReplicaChange]) -> None:
         for change in changes:
             self._apply_change(change)
         self._schedule_expiry()
 
-    def _apply_change(self, change: Change) -> None:
+    def _apply_change(self, change: ReplicaChange) -> None:
         replica = change.new.replica
         now_ms = self._clock.now_ms()
-        if change.kind is ChangeKind.RESTARTED and change.old is not None:
-            self._router.forget(replica.name)
+        if change.kind is ReplicaChangeKind.RESTARTED and change.old is not None:
+            self._router.remove(replica.name)
             self._connections.forget(change.old.replica.address)
-        if change.kind is ChangeKind.GONE:
-            self._router.forget(replica.name)
+        if change.kind is ReplicaChangeKind.REMOVED:
+            self._router.remove(replica.name)
             self._close_connections(replica.address)
-        if change.kind in (ChangeKind.SEEN, ChangeKind.RESTARTED):
+        if change.kind in (ReplicaChangeKind.ADDED, ReplicaChangeKind.RESTARTED):
             self._connections.prepare(replica, change.new.service)
             if change.new.warm_up_left_ms > 0.0:
-                self._router.begin_warm_up(replica.name, now_ms)
+                self._router.start_ramp_up(replica.name, now_ms)
         _log.info(
             "replica changed",
             extra={
@@ -257,14 +259,14 @@
                 "incarnation": replica.incarnation,
                 "service": change.new.service,
                 "zone": replica.zone,
-                "directory_version": self._register.version,
+                "directory_version": self._registry.version,
             },
         )
 
     def _close_connections(self, address: str) -> None:
         """Close the connections to an address that no other replica has."""
         in_use = any(
-            item.replica.address == address for item in self._register.registrations()
+            item.replica.address == address for item in self._registry.registrations()
         )
         if not in_use:
             self._connections.forget(address)
@@ -273,7 +275,7 @@
         if self._expiry_timer is not None:
             self._expiry_timer.cancel()
             self._expiry_timer = None
-        due_ms = self._register.next_expiry_ms()
+        due_ms = self._registry.next_expiry_ms()
         if due_ms is None:
             return
         delay_ms = max(1.0, due_ms - self._clock.now_ms())
@@ -281,4 +283,4 @@
         self._expiry_timer = loop.call_later(delay_ms / 1000.0, self._expire)
 
     def _expire(self) -> None:
-        self._apply(self._register.expire(self._clock.now_ms()))
+        self._apply(self._registry.expire(self._clock.now_ms()))
--- a/chestnuthall/services/_shared_store.py
+++ b/chestnuthall/services/_shared_store.py
@@ -3,13 +3,13 @@
 import logging
 from collections.abc import Callable, Collection, Sequence
 
-from chestnuthall.core.configuration import FeedTiming, LeaderChoice
+from chestnuthall.core.configuration import FeedTiming, LeaderSelector
 from chestnuthall.core.results import NOT_READY, STORE_UNAVAILABLE, Failure
 from chestnuthall.ports import (
     Clock,
     FeedAnswer,
+    FeedClient,
     ObjectStore,
-    PeerFeeds,
     StoredObject,
     WatchBatch,
 )
@@ -42,10 +42,10 @@
         self,
         store: ObjectStore,
         clock: Clock,
-        feeds: PeerFeeds,
+        feeds: FeedClient,
         kinds: Collection[str],
         timing: FeedTiming,
-        choice: LeaderChoice,
+        selector: LeaderSelector,
         near_peers: Callable[[], Sequence[InstanceEntry]],
         seed_addresses: Sequence[str] = (),
     ) -> None:
@@ -53,7 +53,7 @@
         self._clock = clock
         self._peer_feeds = feeds
         self._timing = timing
-        self._leader_selector = choice
+        self._leader_selector = selector
         self._near_peers = near_peers
         self._seed_addresses = seed_addresses
         self._feeds = {kind: ObjectFeed(clock, timing.age_max_ms) for kind in kinds}
@@ -195,7 +195,7 @@
         not notice that the outage has ended.
         """
         feed = self._feeds[kind]
-        if self._leader_selector.is_shared:
+        if self._leader_selector.is_zone_large_enough:
             left_ms = self._timing.watch_timeout_ms
             if kind not in self._kinds_from_store:
                 # Its followers need to learn soon that its feed is recent.
@@ -204,7 +204,7 @@
         batch = await self._store.watch(kind, after_version, left_ms)
         if isinstance(batch, Failure):
             self._kinds_from_store.discard(kind)
-            self._leader_selector.avoid_store(self._clock.now_ms())
+            self._leader_selector.deprioritise_store(self._clock.now_ms())
             return batch
         feed.apply(batch)
         feed.confirm()
@@ -230,7 +230,9 @@
         # A leader that has just started has no changes from before its start; another
         # leader or the store has them.
         is_responsive = answer.kind is NOT_READY
-        self._leader_selector.avoid(leader.name, self._clock.now_ms(), is_responsive)
+        self._leader_selector.deprioritise(
+            leader.name, self._clock.now_ms(), is_responsive
+        )
         _log.info(
             "leader passed over",
             extra={"kind": kind, "leader": leader.name, "reason": answer.reason},
--- a/chestnuthall/services/_status.py
+++ b/chestnuthall/services/_status.py
@@ -9,10 +9,10 @@
 from chestnuthall.core.results import OBJECT_NOT_FOUND, Failure
 from chestnuthall.ports import Clock, ObjectStore, StoredObject
 from chestnuthall.services._configuration import ConfigurationKeeper
-from chestnuthall.services._drain_news import DrainNews
+from chestnuthall.services._drain_news import DrainExchange
 from chestnuthall.services._lifecycle import Lifecycle
 from chestnuthall.services._membership import Membership
-from chestnuthall.services._quarantine_news import QuarantineNews
+from chestnuthall.services._quarantine_exchange import QuarantineExchange
 
 _log = logging.getLogger(__name__)
 
@@ -31,7 +31,7 @@
 StatusEncoder = Callable[[Mapping[str, object]], str]
 
 
-class StatusPart(Protocol):
+class StatusSection(Protocol):
     """A service that provides a section of the status object."""
 
     @property
@@ -54,19 +54,19 @@
         clock: Clock,
         encode: StatusEncoder,
         random: Random,
-        parts: Sequence[StatusPart] = (),
+        sections: Sequence[StatusSection] = (),
     ) -> None:
         self._membership = membership
         self._store = store
         self._clock = clock
         self._encode = encode
         self._random = random
-        self._sections = list(parts)
+        self._sections = list(sections)
         self._version: int | None = None
         self._written_text = ""
         self._n_intervals_since_write = 0
 
-    def add_part(self, section: StatusPart) -> None:
+    def add_section(self, section: StatusSection) -> None:
         """Add the section of a service to the status."""
         self._sections.append(section)
 
@@ -189,7 +189,7 @@
 
     status_name = "news"
 
-    def __init__(self, drains: DrainNews, quarantines: QuarantineNews) -> None:
+    def __init__(self, drains: DrainExchange, quarantines: QuarantineExchange) -> None:
         self._drains = drains
         self._quarantines = quarantines
 
@@ -198,7 +198,7 @@
         return {
             "drains": {
                 notice.replica_name: notice.signal.value
-                for notice in self._drains.active()
+                for notice in self._drains.active_notices()
             },
             "quarantines": [
                 suspicion.fingerprint
--- a/chestnuthall/services/_suspects.py
+++ b/chestnuthall/services/_suspects.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-from chestnuthall.core.quarantine import QuarantineRegister, SuspicionState
+from chestnuthall.core.quarantine import QuarantineRegistry, SuspicionState
 from chestnuthall.ports import Clock
 
 # Maximum time that a probe waits for unresponsive peers. Reachable peers respond
@@ -18,7 +18,7 @@
 
     def __init__(
         self,
-        registry: QuarantineRegister,
+        registry: QuarantineRegistry,
         clock: Clock,
         disseminate: Callable[[], Awaitable[None]] | None,
     ) -> None:
@@ -40,8 +40,10 @@
         if not waiters:
             del self._waiters[fingerprint]
 
-    def _on_change(self, fingerprint: str, state: SuspicionState, is_own: bool) -> None:
-        if is_own:
+    def _on_change(
+        self, fingerprint: str, state: SuspicionState, is_local: bool
+    ) -> None:
+        if is_local:
             self._start_round()
         if state is SuspicionState.SUSPECTED:
             return
--- a/chestnuthall/services/_two_level.py
+++ b/chestnuthall/services/_two_level.py
@@ -9,7 +9,7 @@
     FanOutContext,
     PartialAnswer,
     coverage_of,
-    merge_partials,
+    merge_partial_answers,
 )
 from chestnuthall.core.model import (
     FanOutAccount,
@@ -87,7 +87,7 @@
         ]
         partials = [answer for answer in answers if isinstance(answer, PartialAnswer)]
         snapshot_id = partition_map.snapshot_id
-        merged = merge_partials(partials, snapshot_id, request.n_hits_max)
+        merged = merge_partial_answers(partials, snapshot_id, request.n_hits_max)
         failure = refused[0] if refused else _floor_failure(merged, context)
         return Completion(
             failure=failure,
@@ -176,7 +176,7 @@
             return context
         partition_map = self._directory.find_map(call.group, call.snapshot_id)
         if partition_map is None:
-            return SNAPSHOT_GONE.because("the peer does not know the snapshot")
+            return SNAPSHOT_GONE.with_reason("the peer does not know the snapshot")
         requested = set(call.shard_ids)
         shards = tuple(
             item for item in partition_map.shards if item.shard_id in requested
@@ -221,6 +221,6 @@
     ratio = merged.coverage.ratio
     if ratio >= floor:
         return None
-    return COVERAGE_BELOW_FLOOR.because(
+    return COVERAGE_BELOW_FLOOR.with_reason(
         f"coverage {ratio:.4f} is below the floor {floor:.4f}"
     )
--- a/chestnuthall/services/tests/_world.py
+++ b/chestnuthall/services/tests/_world.py
@@ -20,7 +20,7 @@
     ShardAnswer,
     UpstreamGroup,
 )
-from chestnuthall.core.quarantine import QuarantineRegister, QuarantineSettings
+from chestnuthall.core.quarantine import QuarantineRegistry, QuarantineSettings
 from chestnuthall.core.results import (
     CALL_TIMED_OUT,
     CONNECTION_LOST,
@@ -78,16 +78,16 @@
     async def get(self, kind, name, timeout_ms):
         await asyncio.sleep(0.001)
         if self.is_unavailable:
-            return STORE_UNAVAILABLE.because("the store is unavailable")
-        return self.objects.get((kind, name)) or OBJECT_NOT_FOUND.because(name)
+            return STORE_UNAVAILABLE.with_reason("the store is unavailable")
+        return self.objects.get((kind, name)) or OBJECT_NOT_FOUND.with_reason(name)
 
     async def update(self, kind, name, value, version, timeout_ms):
         await asyncio.sleep(0.001)
         if self.is_unavailable:
-            return STORE_UNAVAILABLE.because("the store is unavailable")
+            return STORE_UNAVAILABLE.with_reason("the store is unavailable")
         stored = self.objects.get((kind, name))
         if (stored.version if stored else 0) != version:
-            return OBJECT_CONFLICT.because(name)
+            return OBJECT_CONFLICT.with_reason(name)
         self.objects[kind, name] = StoredObject(kind, name, version + 1, value)
         return self.objects[kind, name]
 
@@ -128,7 +128,7 @@
             async with asyncio.timeout(max(0.0, remaining_ms) / 1000.0):
                 return await self._call(call)
         except TimeoutError:
-            return CALL_TIMED_OUT.because("the deadline passed")
+            return CALL_TIMED_OUT.with_reason("the deadline passed")
         finally:
             del self.running[call.call_id]
 
@@ -137,15 +137,15 @@
         await asyncio.sleep(0.001)
         fault = self.next_fault.pop(shard_id, "")
         if name in self.dead or fault == "cut-before":
-            return NO_REPLICA.because("connection refused")
+            return NO_REPLICA.with_reason("connection refused")
         if self.clock.now_ms() >= call.deadline_ms:
-            return DEADLINE_PASSED.because(
+            return DEADLINE_PASSED.with_reason(
                 "the deadline passed before the call was sent"
             )
         if fault == "shed":
-            return SHED_BY_UPSTREAM.because("overloaded")
+            return SHED_BY_UPSTREAM.with_reason("overloaded")
         if call.snapshot_id not in self.snapshots:
-            return SNAPSHOT_GONE.because("the snapshot was replaced")
+            return SNAPSHOT_GONE.with_reason("the snapshot was replaced")
         self.runs.append((call.request.request_id, shard_id, name))
         self.on_event("written")
         if sum(item.shard_id == shard_id for item in self.running.values()) > 1:
@@ -160,7 +160,7 @@
         # A fault that was injected while the call ran also affects it.
         fault = fault or self.next_fault.pop(shard_id, "")
         if name in self.dead or fault in ("cut-after", "cut-before", "shed"):
-            return CONNECTION_LOST.because("connection reset")
+            return CONNECTION_LOST.with_reason("connection reset")
         return self._answer(call, fault)
 
     def _answer(self, call, fault):
@@ -187,25 +187,27 @@
         await asyncio.sleep(0.001)
         return self.newest
 
-    def set_connection_budget(self, group, n_connections, kept_ratio=1.0, n_near=None):
+    def set_connection_budget(
+        self, group, n_connections, connected_ratio=1.0, n_connections_in_zone=None
+    ):
         pass
 
 
 class QueryHarness:
     """The query services of one instance; to be created in a virtual-time loop."""
 
-    def __init__(self, seed, upstreams=None, spread=None):
+    def __init__(self, seed, upstreams=None, disseminate=None):
         self.clock = LoopTimeClock()
         self.store = FakeStore()
         self.random = Random(seed)
         self.upstreams = upstreams or FakeUpstreams(self.clock, self.random)
-        self.registry = QuarantineRegister(QuarantineSettings())
+        self.registry = QuarantineRegistry(QuarantineSettings())
         keeper = ConfigurationKeeper("t", self.store, self.clock, lambda text: None)
         self.directory = Directory(
             self.store,
             self.upstreams,
             self.clock,
-            lambda text: INVALID_REQUEST.because("unused"),
+            lambda text: INVALID_REQUEST.with_reason("unused"),
             "z0",
             self.random,
         )
@@ -219,7 +221,7 @@
             admissions=Admissions(self.clock),
             ledger=ClaimLedger(self.store, self.clock, self.store, LedgerSettings()),
             quarantine=self.registry,
-            spread=spread,
+            disseminate=disseminate,
         )
         document = EnvironmentDocument(
             classes=(
--- a/chestnuthall/services/tests/test_crashing_requests.py
+++ b/chestnuthall/services/tests/test_crashing_requests.py
@@ -33,7 +33,7 @@
         ]
         for harness in self.harnesses:
             # Accumulated credit for hedges, as after a period of low load.
-            harness.query._budgets["c"].earn(range(1_000), 0.0, 0.0)
+            harness.query._budgets["c"].record_calls(range(1_000), 0.0, 0.0)
 
     async def disseminate(self, sender):
         if not self.can_exchange:
@@ -105,7 +105,7 @@
         outcomes = await resend_everywhere(fleet, kind, gap_ms)
         assert len(fleet.upstreams.dead) <= n_lost_max
         assert outcomes[-1].failure.kind is QUARANTINED
-        assert outcomes[-1].run.value == "no"
+        assert outcomes[-1].run_state.value == "no"
         other = await fleet.harnesses[2].query.serve(
             fleet.harnesses[2].request("lookup", 9)
         )
--- a/chestnuthall/services/tests/test_decision_log.py
+++ b/chestnuthall/services/tests/test_decision_log.py
@@ -22,11 +22,11 @@
 )
 from chestnuthall.core.results import (
     NO_REPLICA,
-    Repeat,
     ResultCode,
+    RetryAdvice,
     RunState,
 )
-from chestnuthall.services import DECISIONS, DecisionLog
+from chestnuthall.services import DECISION_LOGGER_NAME, DecisionLog
 from chestnuthall.services._decision_log import N_LINES_BURST
 
 ACCOUNT = Account(
@@ -52,7 +52,7 @@
 LATE = replace(ORDINARY, account=replace(ACCOUNT, is_late=True))
 PARTIAL = replace(ORDINARY, result_code=ResultCode.OK_PARTIAL)
 REFUSED = Refusal(
-    "q", NO_REPLICA.because("x"), RunState.NO, Repeat.SAFE, 1, replace(ACCOUNT)
+    "q", NO_REPLICA.with_reason("x"), RunState.NO, RetryAdvice.SAFE, 1, replace(ACCOUNT)
 )
 NINE_DECISIONS = [Decision(0.0, DecisionEvent.SETTLED, ("deadline", 1.0, 7))] * 9
 
@@ -69,8 +69,8 @@
 
 @pytest.fixture
 def lines(caplog):
-    logging.getLogger(DECISIONS).propagate = True
-    caplog.set_level(logging.INFO, logger=DECISIONS)
+    logging.getLogger(DECISION_LOGGER_NAME).propagate = True
+    caplog.set_level(logging.INFO, logger=DECISION_LOGGER_NAME)
     return lambda: caplog.records
 
 
@@ -112,7 +112,7 @@
 
     Those of a large search took 4 ms.
     """
-    caplog.set_level(logging.INFO, DECISIONS)
+    caplog.set_level(logging.INFO, DECISION_LOGGER_NAME)
     deferred = []
     log = DecisionLog(Clock(), Metrics(), deferred.append)
     log.request_ended(LATE, NINE_DECISIONS)
--- a/chestnuthall/services/tests/test_fault_matrix.py
+++ b/chestnuthall/services/tests/test_fault_matrix.py
@@ -11,7 +11,7 @@
 import pytest
 
 from chestnuthall.core.model import Answer
-from chestnuthall.core.results import Repeat, RunState
+from chestnuthall.core.results import RetryAdvice, RunState
 from chestnuthall.services.tests._world import (
     DEADLINE_MS,
     FLOOR_RATIO,
@@ -75,7 +75,7 @@
         self.n_answered = 0
         self.n_partial_answers = 2 if kind == "search" else 1
         harness.upstreams.on_event = self.on_event
-        pin, pin_another = harness.directory.pin, harness.directory.pin_another
+        pin, pin_replacement = harness.directory.pin, harness.directory.pin_replacement
 
         def observed_pin(group, excluded=()):
             # A request pins a map twice: for its cost, and after its admission.
@@ -87,12 +87,12 @@
                 return found
             return pin(group, excluded)
 
-        async def observed_pin_another(group, gone):
+        async def observed_pin_replacement(group, unavailable_snapshot_ids):
             self.on_step("replanning")
-            return await pin_another(group, gone)
+            return await pin_replacement(group, unavailable_snapshot_ids)
 
         harness.directory.pin = observed_pin
-        harness.directory.pin_another = observed_pin_another
+        harness.directory.pin_replacement = observed_pin_replacement
         if step == "hedged":
             harness.upstreams.slow_ms.update(s1=100.0)
         if step == "replanning":
@@ -115,7 +115,7 @@
     """Serve one request with faults; then send a mutation again without faults."""
     harness = QueryHarness(seed)
     # Accumulated credit for hedges, as after a period of low load.
-    harness.query._budgets["c"].earn(range(1_000), 0.0, 0.0)
+    harness.query._budgets["c"].record_calls(range(1_000), 0.0, 0.0)
     injector = Injector(harness, kind, step, faults)
     request = harness.request(kind)
     harness.task = asyncio.ensure_future(harness.query.serve(request))
@@ -138,7 +138,7 @@
 
 
 def group_of(harness):
-    return harness.query._configuration.in_force.document.group_named("g")
+    return harness.query._configuration.in_force.document.find_group("g")
 
 
 def check_outcome(harness, kind, outcome, elapsed_ms):
@@ -148,13 +148,13 @@
     assert elapsed_ms <= 2 * DEADLINE_MS + 5.0
     if isinstance(outcome, Answer):
         check_answer(harness, kind, outcome)
-    elif outcome.run is RunState.NO:
+    elif outcome.run_state is RunState.NO:
         assert runs == []
         is_claimed = kind == "mutation" and bool(harness.store.objects)
         # A request with a claimed key would be refused at every repetition.
-        assert not (is_claimed and outcome.repeat is Repeat.SAFE)
-        assert outcome.retry_after_ms is None or outcome.repeat is Repeat.SAFE
-    elif outcome.run is RunState.YES:
+        assert not (is_claimed and outcome.repeat is RetryAdvice.SAFE)
+        assert outcome.retry_after_ms is None or outcome.repeat is RetryAdvice.SAFE
+    elif outcome.run_state is RunState.YES:
         assert runs != []
     if kind == "mutation":
         assert len(runs) <= 1
--- a/chestnuthall/services/tests/test_presence.py
+++ b/chestnuthall/services/tests/test_presence.py
@@ -39,7 +39,7 @@
 
 def read(stored):
     if "," not in stored.value:
-        return INVALID_REQUEST.because("no entry")
+        return INVALID_REQUEST.with_reason("no entry")
     address, zone = stored.value.split(",")
     return InstanceEntry(stored.name, address, zone)
 
@@ -61,8 +61,8 @@
     return run_virtual(scenario()), counted
 
 
-CONFLICT = OBJECT_CONFLICT.because("exists")
-UNAVAILABLE = STORE_UNAVAILABLE.because("unavailable")
+CONFLICT = OBJECT_CONFLICT.with_reason("exists")
+UNAVAILABLE = STORE_UNAVAILABLE.with_reason("unavailable")
 OTHERS = {"near": "10.0.0.2:1,a", "far": "10.0.0.3:1,b"}
 
 # (case, results of creating the entry, stored entries, seconds, reported counts)
@@ -87,7 +87,7 @@
     if counts:
         assert [item.name for item in presence.peers] == ["near", "far"]
         assert [item.name for item in presence.near_peers] == ["near"]
-        assert presence.n_near() == 2
+        assert presence.n_instances_in_zone() == 2
 
 
 # (case, own entry in the store, whether it is updated)
--- a/chestnuthall/services/tests/test_shared_store.py
+++ b/chestnuthall/services/tests/test_shared_store.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from chestnuthall.core.configuration import FeedTiming, LeaderChoice
+from chestnuthall.core.configuration import FeedTiming, LeaderSelector
 from chestnuthall.core.results import (
     HISTORY_TRIMMED,
     NOT_READY,
@@ -64,10 +64,10 @@
         self._store.n_calls += 1
         if self._name in self._store.unresponsive:
             await asyncio.sleep(timeout_ms / 1000.0)
-            return STORE_UNAVAILABLE.because("unresponsive")
+            return STORE_UNAVAILABLE.with_reason("unresponsive")
         await asyncio.sleep(0.004)
         if self._name in self._store.refused:
-            return STORE_UNAVAILABLE.because("refused")
+            return STORE_UNAVAILABLE.with_reason("refused")
         return None
 
     async def list_kind(self, kind, timeout_ms):
@@ -92,7 +92,7 @@
             if self._name in store.unanswered_watches:
                 # Such a watch does not notice the end of the outage either.
                 await asyncio.sleep(max(0.0, ends_at_s + 1.0 - loop.time()))
-                return STORE_UNAVAILABLE.because("unresponsive")
+                return STORE_UNAVAILABLE.with_reason("unresponsive")
             changed = tuple(
                 item for item in store.objects.values() if item.version > after_version
             )
@@ -116,10 +116,10 @@
     async def _failure_of_call(self, address, timeout_ms):
         if address in self.unresponsive:
             await asyncio.sleep(timeout_ms / 1000.0 + 0.4)
-            return STORE_UNAVAILABLE.because("unresponsive")
+            return STORE_UNAVAILABLE.with_reason("unresponsive")
         await asyncio.sleep(0.001)
         if address in self.unreachable:
-            return STORE_UNAVAILABLE.because("refused")
+            return STORE_UNAVAILABLE.with_reason("refused")
         return None
 
     async def watch(self, address, kind, after_version, timeout_ms):
@@ -128,7 +128,7 @@
             return failure
         feed = self.stores[address].feed(kind)
         if feed is None:
-            return NOT_READY.because("no feed")
+            return NOT_READY.with_reason("no feed")
         return await feed.watch(after_version, timeout_ms)
 
     async def snapshot(self, address, kind, timeout_ms):
@@ -151,9 +151,9 @@
         self.entries = entries
         positions = {}
         for name in names:
-            choice = LeaderChoice(name)
-            choice.leader(names, 0.0)
-            positions[name] = choice.position
+            selector = LeaderSelector(name)
+            selector.leader(names, 0.0)
+            positions[name] = selector.position
             self.feeds.stores[name] = self.make(name)
         self.names = sorted(names, key=positions.get)
 
@@ -164,7 +164,7 @@
             self.feeds,
             (KIND,),
             FeedTiming(IN_FORCE_MS),
-            LeaderChoice(name),
+            LeaderSelector(name),
             lambda: [item for item in self.entries if item.name != name],
         )
 
--- a/chestnuthall/services/tests/test_store_follower.py
+++ b/chestnuthall/services/tests/test_store_follower.py
@@ -6,12 +6,12 @@
 import pytest
 
 from chestnuthall.core.configuration import (
-    Load,
-    Loaded,
-    Pause,
-    PauseEnded,
-    StoreFailed,
-    StoreFollower,
+    Delay,
+    DelayEnded,
+    ObjectFollower,
+    ObjectRead,
+    ReadObject,
+    StoreCallFailed,
     Watch,
     safe_watch_timeout_ms,
 )
@@ -24,22 +24,22 @@
 
 def end_of_read_after_outage_ms(start_ms, outage_ms, recovery_ms):
     """Return when the object is read again after the store stopped answering."""
-    follower = StoreFollower(safe_watch_timeout_ms(recovery_ms))
+    follower = ObjectFollower(safe_watch_timeout_ms(recovery_ms))
     now_ms = start_ms
-    action = follower.handle(Loaded(now_ms, 10))
+    action = follower.handle(ObjectRead(now_ms, 10))
     while True:
-        if isinstance(action, Pause):
+        if isinstance(action, Delay):
             now_ms += action.duration_ms
-            event = PauseEnded(now_ms, True, now_ms)
+            event = DelayEnded(now_ms, True, now_ms)
         elif isinstance(action, Watch):
             # A watch in progress when the outage starts gets no answer.
             now_ms += follower.watch_timeout_ms + WATCH_MARGIN_MS
-            event = StoreFailed(now_ms)
+            event = StoreCallFailed(now_ms)
         elif now_ms < outage_ms:
             now_ms += STORE_TIMEOUT_MS
-            event = StoreFailed(now_ms)
+            event = StoreCallFailed(now_ms)
         else:
-            assert action == Load()
+            assert action == ReadObject()
             return now_ms + CALL_MS
         action = follower.handle(event)
 
