--- a/chestnuthall/cli/_account_commands.py
+++ b/chestnuthall/cli/_account_commands.py
@@ -1,4 +1,4 @@
-"""Command that explains accounts."""
+"""Command ``explain``, which explains the accounts of requests."""
 
 import asyncio
 import sys
@@ -8,11 +8,11 @@
 
 from chestnuthall.adapters.documents import read_account, read_environment
 from chestnuthall.cli._commands import add_command
-from chestnuthall.cli._exits import ExitCode
+from chestnuthall.cli._exit_codes import ExitCode
 from chestnuthall.cli._output import Output
 from chestnuthall.cli._session import (
-    Common,
-    UsageError,
+    CommandError,
+    CommonOptions,
     open_session,
     read_file,
 )
@@ -20,7 +20,7 @@
 from chestnuthall.core.model import Account, EnvironmentDocument
 from chestnuthall.core.results import Failure
 
-COMMON = Common()
+DEFAULT_OPTIONS = CommonOptions()
 
 
 def register(app: App) -> None:
@@ -34,13 +34,14 @@
     *,
     document: Path | None = None,
     env: str | None = None,
-    common: Common = COMMON,
+    common: CommonOptions = DEFAULT_OPTIONS,
 ) -> ExitCode:
     """Explain one account, or which of two requests went first and why.
 
-    An account is read from a file that holds the account, or the whole answer
-    or refusal that carries it; `-` reads standard input. The order of two is
-    judged by the document in force, or by `--document`, which needs no store.
+    An account is read from a file with the account, or with the complete answer
+    or refusal that contains it; `-` reads standard input. The order of two
+    requests is explained under the document in force, or under the one of
+    `--document`, which needs no store.
 
     Examples
     --------
@@ -55,56 +56,61 @@
     b
         Second account.
     document
-        Judge by this document in place of the one in force.
+        Use this document instead of the one in force.
     env
-        Judge by the document in force of this environment; production by
-        default.
+        Use the document in force in this environment; production by default.
     """
     output = Output(common.json)
-    account_a = _account(a)
+    account_a = _read_account(a)
     if b is None:
-        return _print(output, explain_one(account_a))
-    account_b = _account(b)
+        return _print_explanation(output, explain_one(account_a))
+    account_b = _read_account(b)
     if document is not None:
-        judged_by = _read_document(read_file(document), str(document))
-        # A file has no revision; it is taken to be the one of the accounts.
+        configuration = _read_document(read_file(document), str(document))
+        # A file has no revision; the accounts' revision is assumed.
         revision = account_a.configuration_revision
     else:
-        judged_by, revision = asyncio.run(_in_force(common, env))
-    return _print(output, explain_two(account_a, account_b, judged_by, revision))
+        configuration, revision = asyncio.run(_read_in_force(common, env))
+    return _print_explanation(
+        output, explain_two(account_a, account_b, configuration, revision)
+    )
 
 
-def _account(path: Path) -> Account:
+def _read_account(path: Path) -> Account:
     text = sys.stdin.read() if str(path) == "-" else read_file(path)
     account = read_account(text)
     if isinstance(account, Failure):
-        raise UsageError(f"{path}: {account.reason}", ExitCode.INVALID)
+        raise CommandError(f"{path}: {account.reason}", ExitCode.INVALID)
     return account
 
 
 def _read_document(text: str, name: str) -> EnvironmentDocument:
     found = read_environment(text, name)
     if isinstance(found, Failure):
-        raise UsageError(found.reason, ExitCode.INVALID)
+        raise CommandError(found.reason, ExitCode.INVALID)
     return found
 
 
-async def _in_force(common: Common, env: str | None) -> tuple[EnvironmentDocument, int]:
+async def _read_in_force(
+    common: CommonOptions, env: str | None
+) -> tuple[EnvironmentDocument, int]:
     session = open_session(common)
     environment = env or session.profile.production_environment
-    found = await session.book.in_force(environment)
+    found = await session.revision_book.in_force(environment)
     if isinstance(found, Failure):
-        raise UsageError(f"the store: {found.reason}", ExitCode.UNAVAILABLE)
+        raise CommandError(
+            f"cannot read the document in force: {found.reason}", ExitCode.UNAVAILABLE
+        )
     if found is None:
         reason = f"{environment} has no document in force"
-        raise UsageError(reason, ExitCode.NOT_FOUND)
+        raise CommandError(reason, ExitCode.NOT_FOUND)
     document = _read_document(found.record.text, environment)
     return document, found.record.revision
 
 
-def _print(output: Output, explanation: Explanation) -> ExitCode:
+def _print_explanation(output: Output, explanation: Explanation) -> ExitCode:
     rule = explanation.rule
-    output.data(
+    output.print_json(
         {
             "sentences": list(explanation.sentences),
             "rule": None if rule is None else rule.value,
@@ -113,6 +119,6 @@
         }
     )
     for sentence in explanation.sentences:
-        output.say(sentence)
-    output.say(f"This is {explanation.confidence.value}.")
+        output.print_text(sentence)
+    output.print_text(f"This is {explanation.confidence.value}.")
     return ExitCode.OK
--- a/chestnuthall/cli/_burn_commands.py
+++ b/chestnuthall/cli/_burn_commands.py
@@ -1,4 +1,4 @@
-"""Command that reports service-level burn."""
+"""Command ``burn``, which reports service-level burn."""
 
 import asyncio
 from dataclasses import asdict
@@ -8,13 +8,13 @@
 
 from chestnuthall.cli._burn_page import burn_page
 from chestnuthall.cli._commands import add_command
-from chestnuthall.cli._exits import ExitCode
+from chestnuthall.cli._exit_codes import ExitCode
 from chestnuthall.cli._output import Output
-from chestnuthall.cli._session import Common, Session, UsageError, open_session
+from chestnuthall.cli._session import CommandError, CommonOptions, Session, open_session
 from chestnuthall.core.burn import BurnReport, ClassBurn
 from chestnuthall.core.results import Failure
 
-COMMON = Common()
+DEFAULT_OPTIONS = CommonOptions()
 
 
 def register(app: App) -> None:
@@ -27,7 +27,7 @@
     env: str | None = None,
     html: Path | None = None,
     alarm: bool = False,
-    common: Common = COMMON,
+    common: CommonOptions = DEFAULT_OPTIONS,
 ) -> ExitCode:
     """Report how fast each class uses its error budget, and why.
 
@@ -58,21 +58,21 @@
     session: Session, environment: str, html: Path | None, alarm: bool
 ) -> ExitCode:
     output = session.output
-    in_force = await session.book.in_force(environment)
+    in_force = await session.revision_book.in_force(environment)
     if isinstance(in_force, Failure):
-        return output.fail_with(in_force)
+        return output.report_failure(in_force)
     if in_force is None:
         message = f"{environment} has no document in force"
-        return output.fail(ExitCode.NOT_FOUND, message)
-    report = await session.burn(in_force.record)
+        return output.report_error(ExitCode.NOT_FOUND, message)
+    report = await session.read_burn_report(in_force.record)
     if isinstance(report, Failure):
-        return output.fail_with(report)
+        return output.report_failure(report)
     if html is not None:
         _write_page(html, burn_page(report))
-    output.data(asdict(report))
+    output.print_json(asdict(report))
     _print_report(output, report)
     if html is not None:
-        output.say(f"written to {html}")
+        output.print_text(f"written to {html}")
     return ExitCode.BURNS_FAST if alarm and report.fast_classes else ExitCode.OK
 
 
@@ -80,7 +80,7 @@
     try:
         path.write_text(page, encoding="utf-8")
     except OSError as error:
-        raise UsageError(f"cannot write {path}: {error.strerror}") from None
+        raise CommandError(f"cannot write {path}: {error.strerror}") from None
 
 
 def _print_report(output: Output, report: BurnReport) -> None:
@@ -100,12 +100,12 @@
             )
     columns = ("class", "window", "requests", "bad", "burn rate", "by cause")
     title = f"service-level burn of {report.environment}"
-    output.table(title, columns, rows)
+    output.print_table(title, columns, rows)
     for item in report.classes:
-        output.say(_sentence(item))
+        output.print_text(_summarise(item))
 
 
-def _sentence(item: ClassBurn) -> str:
+def _summarise(item: ClassBurn) -> str:
     state = "burns fast" if item.is_fast else "burns slowly" if item.is_slow else "ok"
     return (
         f"{item.class_name}: {state}; objective {item.objective.good_ratio:.2%} within"
--- a/chestnuthall/cli/_commands.py
+++ b/chestnuthall/cli/_commands.py
@@ -1,4 +1,4 @@
-"""Adds commands to the command line, with their examples in the help."""
+"""Registration of commands with the examples of their docstrings."""
 
 import re
 from collections.abc import Callable
@@ -10,11 +10,11 @@
 _EXAMPLES = re.compile(r"^Examples\n-+\n(.*?)(?=\n\n\w[^\n]*\n-+\n|\Z)", re.M | re.S)
 
 
-def examples_of(function: Callable[..., Any]) -> str:
-    """Return the examples of a doc comment as one block for the help.
+def format_examples(function: Callable[..., Any]) -> str:
+    """Return the examples of a docstring as a Markdown block for the help.
 
-    The library shows the text and the parameters of a doc comment, but drops
-    its examples.
+    Cyclopts shows the text and the parameters of a docstring, but not its
+    examples.
     """
     found = _EXAMPLES.search(cleandoc(function.__doc__ or ""))
     if found is None:
@@ -24,9 +24,9 @@
 
 
 def add_command(app: App, function: Callable[..., Any], name: str = "") -> None:
-    """Add a command; its name is the function's, unless one is given."""
+    """Add a command, by default under the name of the function."""
     app.command(
         function,
         name=name or function.__name__,
-        help_epilogue=examples_of(function),
+        help_epilogue=format_examples(function),
     )
--- a/chestnuthall/cli/_document_commands.py
+++ b/chestnuthall/cli/_document_commands.py
@@ -16,26 +16,26 @@
 )
 from chestnuthall.adapters.settings import read_profile, read_settings
 from chestnuthall.cli._commands import add_command
-from chestnuthall.cli._exits import ExitCode
-from chestnuthall.cli._output import Output, shown_time
+from chestnuthall.cli._exit_codes import ExitCode
+from chestnuthall.cli._output import Output, format_time
 from chestnuthall.cli._promotion import promote, show_evidence
-from chestnuthall.cli._publishing import report_outcome
 from chestnuthall.cli._session import (
-    Common,
+    CommandError,
+    CommonOptions,
     Session,
-    UsageError,
     open_session,
     read_file,
 )
+from chestnuthall.cli._write_report import report_write_result
 from chestnuthall.core.configuration import RevisionRecord, StoredRevision, differences
 from chestnuthall.core.model import EnvironmentDocument
 from chestnuthall.core.results import Failure
 
-Reason = Annotated[str, Parameter(help="Why; the history shows it.")]
+Reason = Annotated[str, Parameter(help="Reason for the change; the history shows it.")]
 Environment = Annotated[
     str | None, Parameter(name="--env", help="Environment; trial by default.")
 ]
-COMMON = Common()
+DEFAULT_OPTIONS = CommonOptions()
 
 
 def register(app: App) -> None:
@@ -46,24 +46,28 @@
 
 
 def run(command: Coroutine[Any, Any, ExitCode]) -> ExitCode:
-    """Run a command on an event loop of its own."""
+    """Run a command on a new event loop."""
     return asyncio.run(command)
 
 
-def _checked(path: Path, output: Output) -> tuple[str, EnvironmentDocument] | ExitCode:
+def _check_file(
+    path: Path, output: Output
+) -> tuple[str, EnvironmentDocument] | ExitCode:
     text = read_file(path)
     checked = check_environment(text, str(path))
     if isinstance(checked, EnvironmentDocument):
         return text, checked
     problems = [asdict(problem) for problem in checked]
-    return output.fail(ExitCode.INVALID, describe_problems(checked), problems=problems)
+    return output.report_error(
+        ExitCode.INVALID, describe_problems(checked), problems=problems
+    )
 
 
 def check(
     file: Path,
     *,
     kind: Literal["environment", "settings", "profile"] = "environment",
-    common: Common = COMMON,
+    common: CommonOptions = DEFAULT_OPTIONS,
 ) -> ExitCode:
     """Check a document, or a settings or profile file, without the store.
 
@@ -86,12 +90,12 @@
     output = Output(common.json)
     if kind != "environment":
         return _check_settings(file, kind, output)
-    checked = _checked(file, output)
+    checked = _check_file(file, output)
     if isinstance(checked, ExitCode):
         return checked
     text, document = checked
-    output.data({"digest": digest_of(text), "problems": []})
-    output.say(
+    output.print_json({"digest": digest_of(text), "problems": []})
+    output.print_text(
         f"{file} is valid: {len(document.classes)} classes,"
         f" {len(document.groups)} groups, digest {digest_of(text)[:12]}"
     )
@@ -102,13 +106,15 @@
     read = read_settings if kind == "settings" else read_profile
     checked = read(read_file(file), str(file))
     if isinstance(checked, Failure):
-        return output.fail(ExitCode.INVALID, checked.reason)
-    output.data({"problems": []})
-    output.say(f"{file} is valid")
+        return output.report_error(ExitCode.INVALID, checked.reason)
+    output.print_json({"problems": []})
+    output.print_text(f"{file} is valid")
     return ExitCode.OK
 
 
-def diff(file: Path, *, env: Environment = None, common: Common = COMMON) -> ExitCode:
+def diff(
+    file: Path, *, env: Environment = None, common: CommonOptions = DEFAULT_OPTIONS
+) -> ExitCode:
     """Show what a document would change against the one in force.
 
     Examples
@@ -122,7 +128,7 @@
         Environment document, JSON with comments.
     """
     session = open_session(common)
-    checked = _checked(file, session.output)
+    checked = _check_file(file, session.output)
     if isinstance(checked, ExitCode):
         return checked
     return run(_diff(session, env or session.profile.trial_environment, *checked))
@@ -132,16 +138,16 @@
     session: Session, environment: str, text: str, document: EnvironmentDocument
 ) -> ExitCode:
     output = session.output
-    in_force = await session.book.in_force(environment)
+    in_force = await session.revision_book.in_force(environment)
     if isinstance(in_force, Failure):
-        return output.fail_with(in_force)
+        return output.report_failure(in_force)
     old = None if in_force is None else read_environment(in_force.record.text)
     if isinstance(old, Failure):
-        return output.fail_with(old)
+        return output.report_failure(old)
     revision = 0 if in_force is None else in_force.record.revision
     same_bytes = in_force is not None and in_force.record.digest == digest_of(text)
     found = differences(old, document)
-    output.data(
+    output.print_json(
         {
             "environment": environment,
             "revision": revision,
@@ -150,13 +156,17 @@
         }
     )
     if not found:
-        what = "the same bytes" if same_bytes else "only comments and layout differ"
-        output.say(f"no change against {environment} revision {revision}: {what}")
+        explanation = (
+            "the same bytes" if same_bytes else "only comments and layout differ"
+        )
+        output.print_text(
+            f"no change against {environment} revision {revision}: {explanation}"
+        )
         return ExitCode.OK
     rows = [(x.path, x.old or "(none)", x.new or "(none)") for x in found]
     title = f"changes against {environment} revision {revision}"
-    output.table(title, ("field", "in force", "new"), rows)
-    output.say(f"to apply only if this stays so: --expect-revision {revision}")
+    output.print_table(title, ("field", "in force", "new"), rows)
+    output.print_text(f"to apply only if this stays so: --expect-revision {revision}")
     return ExitCode.OK
 
 
@@ -165,12 +175,12 @@
     *,
     reason: Reason,
     expect_revision: int | None = None,
-    common: Common = COMMON,
+    common: CommonOptions = DEFAULT_OPTIONS,
 ) -> ExitCode:
     """Put a document in force in trial.
 
     The write is conditional on the revision that was read; if another operator
-    was first, nothing changes and you are told who won and what differs.
+    was first, nothing changes, and the tool shows who won and what differs.
 
     Examples
     --------
@@ -185,15 +195,15 @@
         Refuse unless this revision is in force; `diff` shows it.
     """
     session = open_session(common)
-    checked = _checked(file, session.output)
+    checked = _check_file(file, session.output)
     if isinstance(checked, ExitCode):
         return checked
-    return run(_trial(session, checked[0], _given(reason), expect_revision))
+    return run(_trial(session, checked[0], _require_reason(reason), expect_revision))
 
 
-def _given(reason: str) -> str:
+def _require_reason(reason: str) -> str:
     if not reason.strip():
-        raise UsageError("the reason is empty; say why, for the history")
+        raise CommandError("the reason is empty; say why, for the history")
     return reason.strip()
 
 
@@ -201,35 +211,35 @@
     session: Session, text: str, reason: str, expect_revision: int | None
 ) -> ExitCode:
     environment = session.profile.trial_environment
-    base = await session.book.in_force(environment)
+    base = await session.revision_book.in_force(environment)
     if isinstance(base, Failure):
-        return session.output.fail_with(base)
-    if _is_same(base, text) and expect_revision is None:
-        return _already_in_force(session, base)
+        return session.output.report_failure(base)
+    if _has_same_digest(base, text) and expect_revision is None:
+        return _report_already_in_force(session, base)
     draft = session.publication.draft(
         environment, text, digest_of(text), session.profile.operator, reason
     )
     with session.output.progress("writing to the store"):
         outcome = await session.publication.publish(draft, base, expect_revision)
-    return await report_outcome(session, outcome)
+    return await report_write_result(session, outcome)
 
 
-def _is_same(base: StoredRevision | None, text: str) -> bool:
+def _has_same_digest(base: StoredRevision | None, text: str) -> bool:
     return base is not None and base.record.digest == digest_of(text)
 
 
-def _already_in_force(session: Session, base: StoredRevision | None) -> ExitCode:
+def _report_already_in_force(session: Session, base: StoredRevision | None) -> ExitCode:
     assert base is not None
     record = base.record
-    session.output.data({"accepted": False, "revision": record.revision})
-    session.output.say(
+    session.output.print_json({"accepted": False, "revision": record.revision})
+    session.output.print_text(
         f"{record.environment} has exactly this document in force already, as"
         f" revision {record.revision} by {record.author}"
     )
     return ExitCode.OK
 
 
-def evidence(*, common: Common = COMMON) -> ExitCode:
+def evidence(*, common: CommonOptions = DEFAULT_OPTIONS) -> ExitCode:
     """Show what trial proves about its document: instances, burn, refusals.
 
     Examples
@@ -246,7 +256,7 @@
     reason: Reason,
     file: Path | None = None,
     override: str = "",
-    common: Common = COMMON,
+    common: CommonOptions = DEFAULT_OPTIONS,
 ) -> ExitCode:
     """Promote the document in force in trial, byte by byte, to production.
 
@@ -267,11 +277,11 @@
     """
     session = open_session(common)
     wanted_digest = "" if file is None else digest_of(read_file(file))
-    return run(promote(session, _given(reason), wanted_digest, override))
+    return run(promote(session, _require_reason(reason), wanted_digest, override))
 
 
 def history(
-    *, env: Environment = None, last: int = 20, common: Common = COMMON
+    *, env: Environment = None, last: int = 20, common: CommonOptions = DEFAULT_OPTIONS
 ) -> ExitCode:
     """Show the revisions of an environment: who, when and why.
 
@@ -290,23 +300,25 @@
 
 
 async def _history(session: Session, environment: str, last: int) -> ExitCode:
-    found = await session.book.history(environment)
+    found = await session.revision_book.history(environment)
     if isinstance(found, Failure):
-        return session.output.fail_with(found)
+        return session.output.report_failure(found)
     records = found.records[-max(1, last) :]
-    session.output.data([_without_text(record) for record in records])
+    session.output.print_json([_without_text(record) for record in records])
     rows = [
         (
             record.revision,
-            shown_time(record.accepted_wall_ms),
+            format_time(record.accepted_wall_ms),
             record.author or "-",
             record.digest[:12],
-            _shown_reason(record),
+            _format_reason(record),
         )
         for record in records
     ]
     title = f"history of {environment}"
-    session.output.table(title, ("revision", "accepted", "by", "digest", "why"), rows)
+    session.output.print_table(
+        title, ("revision", "accepted", "by", "digest", "why"), rows
+    )
     return ExitCode.OK
 
 
@@ -314,7 +326,7 @@
     return {name: value for name, value in asdict(record).items() if name != "text"}
 
 
-def _shown_reason(record: RevisionRecord) -> str:
+def _format_reason(record: RevisionRecord) -> str:
     parts = [record.reason or "-"]
     if record.source_environment:
         source = f"{record.source_environment} revision {record.source_revision}"
@@ -325,7 +337,10 @@
 
 
 def show(
-    *, env: Environment = None, revision: int | None = None, common: Common = COMMON
+    *,
+    env: Environment = None,
+    revision: int | None = None,
+    common: CommonOptions = DEFAULT_OPTIONS,
 ) -> ExitCode:
     """Print a document as it was accepted, by default the one in force.
 
@@ -346,15 +361,15 @@
 
 async def _show(session: Session, environment: str, revision: int | None) -> ExitCode:
     output = session.output
-    found = await session.book.history(environment)
+    found = await session.revision_book.history(environment)
     if isinstance(found, Failure):
-        return output.fail_with(found)
+        return output.report_failure(found)
     record = found.find(found.last_revision if revision is None else revision)
     if record is None or not record.text:
-        return output.fail(
+        return output.report_error(
             ExitCode.NOT_FOUND, f"{environment} has no text of that revision"
         )
-    output.data(asdict(record))
+    output.print_json(asdict(record))
     if not output.is_json:
         print(record.text, end="")
     return ExitCode.OK
--- a/chestnuthall/cli/_exits.py
+++ b/chestnuthall/cli/_exit_codes.py
@@ -1,4 +1,4 @@
-"""Exit codes of the tool; docs/cli.md tables them."""
+"""Exit codes of the tool, as docs/cli.md lists them."""
 
 from enum import IntEnum
 
@@ -13,7 +13,7 @@
 
 
 class ExitCode(IntEnum):
-    """What the tool tells the shell."""
+    """Exit code of the process."""
 
     OK = 0
     INVALID = 1
@@ -42,7 +42,7 @@
     ExitCode.INTERRUPTED: "Interrupted by Ctrl-C.",
 }
 
-_BY_KIND = {
+_EXIT_CODES_BY_KIND = {
     CONFIGURATION_REJECTED: ExitCode.INVALID,
     NOT_FOUND: ExitCode.NOT_FOUND,
     OBJECT_CONFLICT: ExitCode.RACE_LOST,
@@ -51,6 +51,6 @@
 }
 
 
-def exit_code_of(failure: Failure) -> ExitCode:
+def exit_code_for(failure: Failure) -> ExitCode:
     """Return the exit code of a failure."""
-    return _BY_KIND.get(failure.kind, ExitCode.UNAVAILABLE)
+    return _EXIT_CODES_BY_KIND.get(failure.kind, ExitCode.UNAVAILABLE)
--- a/chestnuthall/cli/_fleet_commands.py
+++ b/chestnuthall/cli/_fleet_commands.py
@@ -10,16 +10,16 @@
 from rich.live import Live
 
 from chestnuthall.cli._commands import add_command
-from chestnuthall.cli._exits import ExitCode
-from chestnuthall.cli._output import Output, make_table, shown_duration, shown_time
-from chestnuthall.cli._session import Common, Session, UsageError, open_session
+from chestnuthall.cli._exit_codes import ExitCode
+from chestnuthall.cli._output import Output, format_duration, format_time, make_table
+from chestnuthall.cli._session import CommandError, CommonOptions, Session, open_session
 from chestnuthall.core.results import Failure
 from chestnuthall.ports import InstanceStatus
 from chestnuthall.services import InstanceObservation, ReplicaObservation
 
-COMMON = Common()
-# A drain notice lapses after 30 s on an instance, so it is repeated before.
-DRAIN_REPEAT_S = 10.0
+DEFAULT_OPTIONS = CommonOptions()
+# A drain notice expires on an instance after 30 s, so it is renewed earlier.
+DRAIN_RENEWAL_INTERVAL_S = 10.0
 INSTANCE_COLUMNS = (
     "instance",
     "environment",
@@ -34,7 +34,7 @@
 UPSTREAM_COLUMNS = ("upstream", "group", "shard", "zone", "address", "state")
 
 Upstreams = Annotated[
-    bool, Parameter(negative="", help="Ask every upstream replica, too.")
+    bool, Parameter(negative="", help="Query every upstream replica as well.")
 ]
 
 
@@ -48,7 +48,9 @@
     app.command(quarantine)
 
 
-def status(*, upstreams: Upstreams = False, common: Common = COMMON) -> ExitCode:
+def status(
+    *, upstreams: Upstreams = False, common: CommonOptions = DEFAULT_OPTIONS
+) -> ExitCode:
     """Show the instances, and with `--upstreams` the upstream replicas.
 
     Examples
@@ -60,28 +62,28 @@
 
 
 async def _status(session: Session, upstreams: bool) -> ExitCode:
-    looked = await _look(session, upstreams)
-    if isinstance(looked, Failure):
-        return session.output.fail_with(looked)
-    instances, replicas = looked
-    session.output.data(_status_data(instances, replicas))
+    result = await _query_status(session, upstreams)
+    if isinstance(result, Failure):
+        return session.output.report_failure(result)
+    instances, replicas = result
+    session.output.print_json(_status_data(instances, replicas))
     if not session.output.is_json:
         session.output.console.print(_status_tables(instances, replicas))
     return ExitCode.OK
 
 
-async def _look(
+async def _query_status(
     session: Session, upstreams: bool
 ) -> tuple[tuple[InstanceObservation, ...], tuple[ReplicaObservation, ...]] | Failure:
     listed = await session.fleet.listed()
     if isinstance(listed, Failure):
         return listed
     entries = tuple(item for item in listed if item.role == "entry")
-    seen = await session.fleet.query_status(entries)
+    observations = await session.fleet.query_status(entries)
     if not upstreams:
-        return seen, ()
+        return observations, ()
     replicas = await session.fleet.upstreams()
-    return replicas if isinstance(replicas, Failure) else (seen, replicas)
+    return replicas if isinstance(replicas, Failure) else (observations, replicas)
 
 
 def _status_data(
@@ -93,7 +95,7 @@
                 "name": item.listed.name,
                 "address": item.listed.address,
                 "listed": item.listed.state,
-                "status": _plain_status(item.status),
+                "status": _status_fields(item.status),
             }
             for item in instances
         ],
@@ -104,20 +106,20 @@
                 "shard_id": item.shard_id,
                 "zone": item.replica.zone,
                 "address": item.replica.address,
-                "state": _shown_state(item.state),
+                "state": _format_state(item.state),
             }
             for item in replicas
         ],
     }
 
 
-def _plain_status(found: InstanceStatus | Failure) -> object:
+def _status_fields(found: InstanceStatus | Failure) -> object:
     if isinstance(found, Failure):
         return {"error": found.kind.name, "reason": found.reason}
     return asdict(found)
 
 
-def _shown_state(state: str | Failure) -> str:
+def _format_state(state: str | Failure) -> str:
     return f"no answer: {state.reason}" if isinstance(state, Failure) else state
 
 
@@ -134,7 +136,7 @@
                 item.shard_id,
                 item.replica.zone,
                 item.replica.address,
-                _shown_state(item.state),
+                _format_state(item.state),
             )
             for item in replicas
         ]
@@ -142,11 +144,17 @@
     return Group(*tables)
 
 
-def _instance_row(seen: InstanceObservation) -> tuple[object, ...]:
-    found = seen.status
+def _instance_row(observation: InstanceObservation) -> tuple[object, ...]:
+    found = observation.status
     if isinstance(found, Failure):
-        state = f"no answer, listed as {seen.listed.state}"
-        return (seen.listed.name, "-", seen.listed.zone, state, *["-"] * 5)
+        state = f"no answer, listed as {observation.listed.state}"
+        return (
+            observation.listed.name,
+            "-",
+            observation.listed.zone,
+            state,
+            *["-"] * 5,
+        )
     counts = dict(found.n_by_result)
     n_good = counts.get("OK", 0) + counts.get("OK_PARTIAL", 0)
     n_all = sum(counts.values())
@@ -154,16 +162,16 @@
         found.name,
         found.environment,
         found.zone,
-        _state_of(found),
+        _describe_readiness(found),
         found.revision,
-        shown_time(found.since_wall_ms),
+        format_time(found.since_wall_ms),
         found.n_in_flight,
         n_all,
         n_all - n_good,
     )
 
 
-def _state_of(found: InstanceStatus) -> str:
+def _describe_readiness(found: InstanceStatus) -> str:
     if found.is_leaving:
         return "leaving"
     return "ready" if found.is_ready else "not ready"
@@ -174,9 +182,9 @@
     upstreams: Upstreams = False,
     interval_s: float = 2.0,
     n_rounds: int = 0,
-    common: Common = COMMON,
+    common: CommonOptions = DEFAULT_OPTIONS,
 ) -> ExitCode:
-    """Show the status again and again until Ctrl-C.
+    """Show the status repeatedly until Ctrl-C.
 
     Examples
     --------
@@ -186,9 +194,9 @@
     Parameters
     ----------
     interval_s
-        Seconds between two looks, at least 0.5.
+        Seconds between two polls, at least 0.5.
     n_rounds
-        Number of looks; 0 goes on until Ctrl-C.
+        Number of polls; 0 continues until Ctrl-C.
     """
     session = open_session(common)
     interval_s = max(0.5, interval_s)
@@ -214,13 +222,13 @@
     with Live(console=output.console, auto_refresh=False, screen=False) as live:
         n_done = 0
         while True:
-            looked = await _look(session, upstreams)
-            if isinstance(looked, Failure):
-                output.errors.print(f"store: {looked.reason}", markup=False)
+            result = await _query_status(session, upstreams)
+            if isinstance(result, Failure):
+                output.error_console.print(f"store: {result.reason}", markup=False)
             elif output.is_json:
-                output.data(_status_data(*looked))
+                output.print_json(_status_data(*result))
             else:
-                live.update(_status_tables(*looked), refresh=True)
+                live.update(_status_tables(*result), refresh=True)
             n_done += 1
             if n_rounds and n_done >= n_rounds:
                 return ExitCode.OK
@@ -232,7 +240,7 @@
     name: str,
     *,
     for_s: float = 60.0,
-    common: Common = COMMON,
+    common: CommonOptions = DEFAULT_OPTIONS,
 ) -> ExitCode:
     """Drain an instance, which then leaves, or an upstream replica for a while.
 
@@ -255,7 +263,7 @@
         Seconds for which an upstream stays drained.
     """
     if for_s <= 0.0:
-        raise UsageError("--for-s must be greater than 0")
+        raise CommandError("--for-s must be greater than 0")
     session = open_session(common)
     if what == "instance":
         return asyncio.run(_drain_instance(session, name))
@@ -265,38 +273,40 @@
 async def _drain_instance(session: Session, name: str) -> ExitCode:
     failure = await session.fleet.drain_instance(name)
     if failure is not None:
-        return session.output.fail_with(failure)
-    session.output.data({"drained": name})
-    session.output.say(f"{name} is leaving; it finishes what is in flight")
+        return session.output.report_failure(failure)
+    session.output.print_json({"drained": name})
+    session.output.print_text(f"{name} is leaving; it finishes what is in flight")
     return ExitCode.OK
 
 
 async def _drain_upstream(session: Session, name: str, for_s: float) -> ExitCode:
     output = session.output
     loop = asyncio.get_running_loop()
-    ends_at_s = loop.time() + for_s
-    with output.progress(f"holding {name} drained"):
+    end_s = loop.time() + for_s
+    with output.progress(f"keeping {name} drained"):
         while True:
             results = await session.fleet.drain_upstream(name)
             if isinstance(results, Failure):
-                return output.fail_with(results)
+                return output.report_failure(results)
             failed = {x: r for x, r in results.items() if isinstance(r, Failure)}
             if failed and len(failed) == len(results):
-                return output.fail_with(next(iter(failed.values())))
-            remaining_s = ends_at_s - loop.time()
-            if remaining_s <= DRAIN_REPEAT_S:
+                return output.report_failure(next(iter(failed.values())))
+            remaining_s = end_s - loop.time()
+            if remaining_s <= DRAIN_RENEWAL_INTERVAL_S:
                 break
-            await asyncio.sleep(DRAIN_REPEAT_S)
-    n_told = len(results) - len(failed)
-    output.data({"drained": name, "n_instances": n_told, "failed": sorted(failed)})
-    output.say(
-        f"{name} is drained on {n_told} of {len(results)} instances;"
+            await asyncio.sleep(DRAIN_RENEWAL_INTERVAL_S)
+    n_notified = len(results) - len(failed)
+    output.print_json(
+        {"drained": name, "n_instances": n_notified, "failed": sorted(failed)}
+    )
+    output.print_text(
+        f"{name} is drained on {n_notified} of {len(results)} instances;"
         " the last notice lapses after 30 s"
     )
     return ExitCode.OK
 
 
-def quarantine_list(*, common: Common = COMMON) -> ExitCode:
+def quarantine_list(*, common: CommonOptions = DEFAULT_OPTIONS) -> ExitCode:
     """List the request fingerprints that instances suspect or refuse.
 
     Examples
@@ -310,12 +320,12 @@
     output = session.output
     found = await session.fleet.quarantines()
     if isinstance(found, Failure):
-        return output.fail_with(found)
+        return output.report_failure(found)
     rows = []
     data = []
     for name, entries in found.items():
         if isinstance(entries, Failure):
-            output.errors.print(f"{name}: {entries.reason}", markup=False)
+            output.error_console.print(f"{name}: {entries.reason}", markup=False)
             continue
         for entry in entries:
             data.append({"instance": name, **asdict(entry)})
@@ -325,16 +335,18 @@
                     name,
                     "refused" if entry.is_refused else "suspected",
                     ", ".join(entry.replica_names),
-                    shown_duration(entry.expires_in_ms),
+                    format_duration(entry.expires_in_ms),
                 )
             )
-    output.data(data)
+    output.print_json(data)
     columns = ("fingerprint", "instance", "state", "replicas lost", "lapses in")
-    output.table("quarantines", columns, sorted(rows))
+    output.print_table("quarantines", columns, sorted(rows))
     return ExitCode.OK
 
 
-def quarantine_lift(fingerprint: str, *, common: Common = COMMON) -> ExitCode:
+def quarantine_lift(
+    fingerprint: str, *, common: CommonOptions = DEFAULT_OPTIONS
+) -> ExitCode:
     """Lift the quarantine of a request on every instance.
 
     Examples
@@ -353,18 +365,18 @@
     output = session.output
     found = await session.fleet.lift_quarantine(fingerprint)
     if isinstance(found, Failure):
-        return output.fail_with(found)
-    _report_silent(output, found)
+        return output.report_failure(found)
+    _report_unreachable(output, found)
     lifted = sorted(name for name, result in found.items() if result is True)
     if not lifted:
         message = f"no instance knows the fingerprint {fingerprint}"
-        return output.fail(ExitCode.NOT_FOUND, message)
-    output.data({"lifted_on": lifted})
-    output.say(f"lifted on {', '.join(lifted)}")
+        return output.report_error(ExitCode.NOT_FOUND, message)
+    output.print_json({"lifted_on": lifted})
+    output.print_text(f"lifted on {', '.join(lifted)}")
     return ExitCode.OK
 
 
-def _report_silent(output: Output, found: Mapping[str, bool | Failure]) -> None:
+def _report_unreachable(output: Output, found: Mapping[str, bool | Failure]) -> None:
     for name, result in found.items():
         if isinstance(result, Failure):
-            output.errors.print(f"{name}: {result.reason}", markup=False)
+            output.error_console.print(f"{name}: {result.reason}", markup=False)
--- a/chestnuthall/cli/_log_commands.py
+++ b/chestnuthall/cli/_log_commands.py
@@ -1,4 +1,4 @@
-"""Command that tells the story of a request from log files."""
+"""Command ``why``, which shows the decisions on a request from log files."""
 
 from collections.abc import Iterator
 from pathlib import Path
@@ -6,12 +6,12 @@
 from cyclopts import App
 
 from chestnuthall.cli._commands import add_command
-from chestnuthall.cli._exits import ExitCode
+from chestnuthall.cli._exit_codes import ExitCode
 from chestnuthall.cli._output import Output
-from chestnuthall.cli._session import Common, UsageError
-from chestnuthall.cli._story import Story, read_story, rows_of
+from chestnuthall.cli._request_trace import RequestTrace, format_rows, read_trace
+from chestnuthall.cli._session import CommandError, CommonOptions
 
-COMMON = Common()
+DEFAULT_OPTIONS = CommonOptions()
 
 
 def register(app: App) -> None:
@@ -19,11 +19,13 @@
     add_command(app, why)
 
 
-def why(request_id: str, *logs: Path, common: Common = COMMON) -> ExitCode:
-    """Tell what was decided on one request, from the logs of any instances.
+def why(
+    request_id: str, *logs: Path, common: CommonOptions = DEFAULT_OPTIONS
+) -> ExitCode:
+    """Show the decisions on one request, from the logs of any instances.
 
     Prints the decisions in order of time and names the one that settled the
-    request. docs/OPERATIONS.md shows how to go on from there.
+    request. docs/OPERATIONS.md describes the next steps.
 
     Examples
     --------
@@ -38,43 +40,43 @@
     """
     output = Output(common.json)
     if not logs:
-        raise UsageError("name at least one log file")
-    story = read_story(request_id, _lines_of(logs))
-    if not story.n_lines_read:
-        return output.fail(
+        raise CommandError("name at least one log file")
+    trace = read_trace(request_id, _read_lines(logs))
+    if not trace.n_lines_read:
+        return output.report_error(
             ExitCode.INVALID, "the files hold no line in the format of docs/logs.md"
         )
-    if not story.lines:
-        return output.fail(
+    if not trace.lines:
+        return output.report_error(
             ExitCode.NOT_FOUND,
-            f"no line of request {request_id} in {story.n_lines_read} lines;"
-            f" {story.n_torn} of them name it but cannot be read",
+            f"no line of request {request_id} in {trace.n_lines_read} lines;"
+            f" {trace.n_torn} of them name it but cannot be read",
         )
-    _show(output, story)
+    _print_trace(output, trace)
     return ExitCode.OK
 
 
-def _lines_of(logs: tuple[Path, ...]) -> Iterator[str]:
+def _read_lines(logs: tuple[Path, ...]) -> Iterator[str]:
     for path in logs:
         try:
             with path.open(errors="replace") as lines:
                 yield from lines
         except OSError as error:
-            raise UsageError(f"cannot read {path}: {error.strerror}") from error
+            raise CommandError(f"cannot read {path}: {error.strerror}") from error
 
 
-def _show(output: Output, story: Story) -> None:
-    rows = rows_of(story)
-    settled = story.settled_by
+def _print_trace(output: Output, trace: RequestTrace) -> None:
+    rows = format_rows(trace)
+    settled = trace.settled_by
     verdict = "no decision settled the request in these logs"
     if settled is not None:
         fields = " ".join(f"{name}={value}" for name, value in settled.fields.items())
         verdict = f"settled by {settled.event}: {fields}"
     if output.is_json:
-        output.data({"lines": rows, "settled": verdict, "n_torn": story.n_torn})
+        output.print_json({"lines": rows, "settled": verdict, "n_torn": trace.n_torn})
         return
     for row in rows:
-        output.say("  ".join(row))
-    if story.n_torn:
-        output.say(f"{story.n_torn} lines of the request cannot be read")
-    output.say(verdict)
+        output.print_text("  ".join(row))
+    if trace.n_torn:
+        output.print_text(f"{trace.n_torn} lines of the request cannot be read")
+    output.print_text(verdict)
--- a/chestnuthall/cli/_main.py
+++ b/chestnuthall/cli/_main.py
@@ -12,10 +12,10 @@
     _fleet_commands,
     _log_commands,
 )
-from chestnuthall.cli._exits import ExitCode
+from chestnuthall.cli._exit_codes import ExitCode
+from chestnuthall.cli._generated_docs import write_docs
 from chestnuthall.cli._output import Output
-from chestnuthall.cli._published import write_docs
-from chestnuthall.cli._session import UsageError
+from chestnuthall.cli._session import CommandError
 
 _HELP = """Check, prove and promote environment documents, and watch the fleet.
 
@@ -35,7 +35,7 @@
 
 
 def make_app() -> App:
-    """Return the command line with all its commands."""
+    """Return the application with all commands."""
     app = App(
         name="chestnuthall",
         help=_HELP,
@@ -50,7 +50,7 @@
     _account_commands.register(app)
     _burn_commands.register(app)
     _log_commands.register(app)
-    # For developers, so it is not among the commands that the help lists.
+    # A command for developers, which the help does not list.
     app.command(write_docs, show=False)
     app.register_install_completion_command(add_to_startup=False)
     return app
@@ -63,10 +63,10 @@
         result = make_app()(tokens, exit_on_error=False, print_error=True)
     except CycloptsError:
         code = ExitCode.USAGE
-    except UsageError as error:
-        code = Output(is_json).fail(error.code, str(error))
+    except CommandError as error:
+        code = Output(is_json).report_error(error.code, str(error))
     except KeyboardInterrupt:
-        code = Output(is_json).fail(
+        code = Output(is_json).report_error(
             ExitCode.INTERRUPTED,
             "interrupted; a write that had begun may have taken effect, see"
             " `chestnuthall history`",
--- a/chestnuthall/cli/_promotion.py
+++ b/chestnuthall/cli/_promotion.py
@@ -2,10 +2,10 @@
 
 from dataclasses import asdict
 
-from chestnuthall.cli._exits import ExitCode
-from chestnuthall.cli._output import Output, shown_duration, shown_time
-from chestnuthall.cli._publishing import report_outcome
+from chestnuthall.cli._exit_codes import ExitCode
+from chestnuthall.cli._output import Output, format_duration, format_time
 from chestnuthall.cli._session import Session
+from chestnuthall.cli._write_report import report_write_result
 from chestnuthall.core.configuration import (
     PromotionDecision,
     PromotionVerdict,
@@ -16,28 +16,28 @@
 
 
 async def gather_evidence(session: Session) -> TrialEvidence | Failure | None:
-    """Return what trial shows; None if it has no document in force."""
-    in_force = await session.book.in_force(session.profile.trial_environment)
+    """Return the evidence from trial; None if it has no document in force."""
+    in_force = await session.revision_book.in_force(session.profile.trial_environment)
     if in_force is None or isinstance(in_force, Failure):
         return in_force
     instances = await session.fleet.entries()
     if isinstance(instances, Failure):
         return instances
-    burn = await session.burn(in_force.record)
+    burn = await session.read_burn_report(in_force.record)
     if isinstance(burn, Failure):
         return burn
     return await session.fleet.evidence(in_force.record, instances, burn.fast_classes)
 
 
 async def show_evidence(session: Session) -> ExitCode:
-    """Print what trial shows, and whether that is enough for a promotion."""
+    """Print the evidence from trial and whether it allows a promotion."""
     output = session.output
     found = await gather_evidence(session)
     if isinstance(found, Failure):
-        return output.fail_with(found)
-    verdict = decide_promotion(found, None, session.policy)
+        return output.report_failure(found)
+    verdict = decide_promotion(found, None, session.promotion_policy)
     if found is None:
-        return output.fail(ExitCode.NOT_FOUND, verdict.lacks[0])
+        return output.report_error(ExitCode.NOT_FOUND, verdict.lacks[0])
     _print_evidence(output, found, verdict)
     return ExitCode.OK if verdict.is_allowed else ExitCode.NOT_PROVEN
 
@@ -46,7 +46,7 @@
     output: Output, found: TrialEvidence, verdict: PromotionVerdict
 ) -> None:
     record = found.record
-    output.data(
+    output.print_json(
         {
             "revision": record.revision,
             "digest": record.digest,
@@ -63,7 +63,7 @@
             "yes"
             if item in found.instances_in_force
             else f"no, revision {item.revision}",
-            shown_time(item.since_wall_ms),
+            format_time(item.since_wall_ms),
             item.n_requests,
             ", ".join(f"{name} {n}" for name, n in item.n_refused_by_code) or "none",
         )
@@ -72,30 +72,30 @@
     rows += [(name, "no answer", "-", "-", "-") for name in found.silent_names]
     title = f"{record.environment} revision {record.revision} by {record.author or '-'}"
     columns = ("instance", "in force", "since", "requests", "refused")
-    output.table(title, columns, rows)
-    output.say(
-        f"in force for {shown_duration(found.in_force_ms)};"
+    output.print_table(title, columns, rows)
+    output.print_text(
+        f"in force for {format_duration(found.in_force_ms)};"
         f" fast burn: {', '.join(found.fast_burn_classes) or 'none'}"
     )
     for lack in verdict.lacks:
-        output.say(f"lacking: {lack}")
+        output.print_text(f"lacking: {lack}")
     if not verdict.lacks:
-        output.say("this is enough to promote it")
+        output.print_text("this is enough to promote it")
 
 
 async def promote(
     session: Session, reason: str, wanted_digest: str, override_reason: str
 ) -> ExitCode:
-    """Promote trial's document and print the outcome."""
+    """Promote the document in force in trial and print the outcome."""
     output = session.output
     found = await gather_evidence(session)
     if isinstance(found, Failure):
-        return output.fail_with(found)
+        return output.report_failure(found)
     with output.progress("writing to the store"):
         outcome = await session.publication.promote(
             found,
             session.profile.production_environment,
-            session.policy,
+            session.promotion_policy,
             session.profile.operator,
             reason,
             wanted_digest=wanted_digest,
@@ -103,18 +103,18 @@
         )
     if isinstance(outcome, PromotionVerdict):
         return _report_verdict(output, outcome)
-    return await report_outcome(session, outcome)
+    return await report_write_result(session, outcome)
 
 
 def _report_verdict(output: Output, verdict: PromotionVerdict) -> ExitCode:
     if verdict.decision is PromotionDecision.ALREADY_IN_FORCE:
-        output.data({"accepted": False, "already_in_force": True})
-        output.say("production has exactly this document in force already")
+        output.print_json({"accepted": False, "already_in_force": True})
+        output.print_text("production has exactly this document in force already")
         return ExitCode.OK
     lines = ["not promoted:", *(f"  {lack}" for lack in verdict.lacks)]
     if verdict.decision is PromotionDecision.REFUSE_NO_EVIDENCE:
         lines.append('to promote all the same: --override "reason for the history"')
-    return output.fail(
+    return output.report_error(
         ExitCode.NOT_PROVEN,
         "\n".join(lines),
         decision=verdict.decision.value,
--- a/chestnuthall/cli/_session.py
+++ b/chestnuthall/cli/_session.py
@@ -1,4 +1,4 @@
-"""Options common to all commands, and the services that they work with."""
+"""Options common to all commands, and the services that commands use."""
 
 import os
 from dataclasses import dataclass
@@ -19,7 +19,7 @@
 from chestnuthall.adapters.instances import HttpInstanceAdmin
 from chestnuthall.adapters.objectapi import HttpObjectStore
 from chestnuthall.adapters.settings import ToolProfile, read_profile
-from chestnuthall.cli._exits import ExitCode
+from chestnuthall.cli._exit_codes import ExitCode
 from chestnuthall.cli._output import Output
 from chestnuthall.core.burn import BurnReport, burn_report
 from chestnuthall.core.configuration import PromotionPolicy, RevisionRecord
@@ -31,8 +31,8 @@
 PROFILE_DEFAULT = Path("chestnuthall.jsonc")
 
 
-class UsageError(Exception):
-    """A mistake of the user; the message says what to do."""
+class CommandError(Exception):
+    """Error that ends a command with a message and an exit code."""
 
     def __init__(self, message: str, code: ExitCode = ExitCode.USAGE) -> None:
         super().__init__(message)
@@ -41,41 +41,41 @@
 
 @Parameter(name="*")
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Common:
-    """Options of every command."""
+class CommonOptions:
+    """Options common to all commands."""
 
     profile: Annotated[Path | None, Parameter(help="Profile file.")] = None
     "Profile file. Default: $CHESTNUTHALL_PROFILE, then ./chestnuthall.jsonc."
     store: str | None = None
-    "Address of the object API; goes before the profile."
+    "Address of the object API; takes precedence over the profile."
     operator: str | None = None
-    "Your name for the history; goes before the profile."
+    "Your name for the history; takes precedence over the profile."
     json: Annotated[bool, Parameter(negative="")] = False
     "Print JSON for scripts in place of tables."
 
 
 @dataclass(frozen=True, slots=True)
 class Session:
-    """The services of one run of the tool."""
+    """Profile, output and services that one command uses."""
 
     profile: ToolProfile
     output: Output
     store: HttpObjectStore
     fleet: FleetView
-    book: RevisionBook
+    revision_book: RevisionBook
     publication: Publication
     clock: LoopClock
 
     @property
-    def policy(self) -> PromotionPolicy:
-        """What trial has to show before a promotion."""
+    def promotion_policy(self) -> PromotionPolicy:
+        """Evidence from trial that a promotion requires."""
         return PromotionPolicy(
             in_force_min_ms=self.profile.trial_min_ms,
             n_requests_min=self.profile.n_trial_requests_min,
         )
 
-    async def burn(self, record: RevisionRecord) -> BurnReport | Failure:
-        """Return the burn of an environment under its document in force."""
+    async def read_burn_report(self, record: RevisionRecord) -> BurnReport | Failure:
+        """Return the burn report of an environment under its document in force."""
         counts = await read_burn(self.store, JsonBurnCodec(), record.environment)
         if isinstance(counts, Failure):
             return counts
@@ -89,17 +89,17 @@
 
 
 def read_file(path: Path) -> str:
-    """Return the text of a file, without any change to its line ends."""
+    """Return the text of a file without newline translation."""
     try:
         return path.read_bytes().decode("utf-8")
     except OSError as error:
-        raise UsageError(f"cannot read {path}: {error.strerror}") from None
+        raise CommandError(f"cannot read {path}: {error.strerror}") from None
     except UnicodeDecodeError as error:
         reason = f"{path}: byte {error.start} is not UTF-8; save the file as UTF-8"
-        raise UsageError(reason, ExitCode.INVALID) from None
+        raise CommandError(reason, ExitCode.INVALID) from None
 
 
-def _profile_path(common: Common) -> Path | None:
+def _profile_path(common: CommonOptions) -> Path | None:
     if common.profile is not None:
         return common.profile
     if PROFILE_VARIABLE in os.environ:
@@ -107,39 +107,39 @@
     return PROFILE_DEFAULT if PROFILE_DEFAULT.exists() else None
 
 
-def _profile(common: Common) -> ToolProfile:
-    changes: dict[str, Any] = {}
+def _load_profile(common: CommonOptions) -> ToolProfile:
+    overrides: dict[str, Any] = {}
     if common.store is not None:
-        changes["store_address"] = common.store
+        overrides["store_address"] = common.store
     if common.operator is not None:
-        changes["operator"] = common.operator
+        overrides["operator"] = common.operator
     path = _profile_path(common)
     if path is not None:
         profile = read_profile(read_file(path), str(path))
         if isinstance(profile, Failure):
-            raise UsageError(profile.reason, ExitCode.INVALID)
-        return _with_options(profile.model_dump(exclude_none=True), changes)
-    if len(changes) < 2:
-        raise UsageError(
+            raise CommandError(profile.reason, ExitCode.INVALID)
+        return _merge_options(profile.model_dump(exclude_none=True), overrides)
+    if len(overrides) < 2:
+        raise CommandError(
             "no profile found; give --profile FILE, or both --store ADDRESS"
             " and --operator NAME"
         )
-    return _with_options({}, changes)
+    return _merge_options({}, overrides)
 
 
-def _with_options(values: dict[str, Any], changes: dict[str, Any]) -> ToolProfile:
+def _merge_options(values: dict[str, Any], overrides: dict[str, Any]) -> ToolProfile:
     values.pop("schema_address", None)
     try:
-        return ToolProfile.model_validate({**values, **changes})
+        return ToolProfile.model_validate({**values, **overrides})
     except ValueError:
-        shown = ", ".join(f"{name}={value!r}" for name, value in changes.items())
-        raise UsageError(
+        shown = ", ".join(f"{name}={value!r}" for name, value in overrides.items())
+        raise CommandError(
             f"invalid option: {shown}; write the store as IP:PORT and the operator"
             " as a name of at most 64 characters"
         ) from None
 
 
-def _read_listed(text: str) -> InstanceSummary | Failure:
+def _read_instance_summary(text: str) -> InstanceSummary | Failure:
     model = read_instance(text)
     if isinstance(model, Failure):
         return model
@@ -148,15 +148,15 @@
     )
 
 
-def open_session(common: Common) -> Session:
-    """Return the services that the options name."""
-    profile = _profile(common)
+def open_session(common: CommonOptions) -> Session:
+    """Create the services from the options and the profile."""
+    profile = _load_profile(common)
     store = HttpObjectStore(profile.store_address)
     clock = LoopClock()
     fleet = FleetView(
-        store, HttpInstanceAdmin(), clock, _read_listed, read_partition_map
+        store, HttpInstanceAdmin(), clock, _read_instance_summary, read_partition_map
     )
-    book = RevisionBook(store, clock, JsonRevisionCodec(), read_environment)
-    publication = Publication(book, fleet, lambda: token_hex(8))
+    revision_book = RevisionBook(store, clock, JsonRevisionCodec(), read_environment)
+    publication = Publication(revision_book, fleet, lambda: token_hex(8))
     output = Output(common.json)
-    return Session(profile, output, store, fleet, book, publication, clock)
+    return Session(profile, output, store, fleet, revision_book, publication, clock)
--- a/chestnuthall/cli/tests/fakes.py
+++ b/chestnuthall/cli/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Fakes of ports that run in the process of a test."""
+"""In-process fakes of the ports."""
 
 from chestnuthall.core.results import (
     OBJECT_CONFLICT,
@@ -15,8 +15,8 @@
 )
 
 
-class StepClock:
-    """A clock that moves only when something waits for it."""
+class FakeClock:
+    """Clock that advances only when code sleeps on it."""
 
     def __init__(self):
         self.at_ms = 1_000_000.0
@@ -31,13 +31,13 @@
         self.at_ms += max(0.0, duration_ms)
 
 
-class TableStore:
-    """An object store in memory with faults that a test scripts.
+class InMemoryObjectStore:
+    """In-memory object store with scripted write faults.
 
-    ``write_faults`` holds one entry per write of ``faulty_kind`` to come:
-    "lose_answer" applies the write and loses its answer, "lose_write" loses
-    the write, "" lets it pass, and a callable runs first and its answer is
-    lost with the write applied or not, as its result says.
+    ``write_faults`` has one entry for each of the next writes of ``faulty_kind``:
+    "lose_answer" applies the write and loses its answer, "lose_write" loses the
+    write, and "" is no fault. A callable is called after the write is applied, and
+    the answer is lost.
     """
 
     def __init__(self, faulty_kind="environments"):
@@ -88,8 +88,8 @@
         return self._stored(entry)
 
 
-class RecordingAdmin:
-    """Instances that note what they are told."""
+class RecordingInstanceAdmin:
+    """Instance admin client that records the announced documents."""
 
     def __init__(self, statuses=()):
         self.statuses = {status.name: status for status in statuses}
@@ -104,8 +104,8 @@
         return 1
 
 
-def status_of(name, *, revision=1, digest="", since_wall_ms=0.0, results=()):
-    """Return the status of an instance of trial."""
+def make_status(name, *, revision=1, digest="", since_wall_ms=0.0, results=()):
+    """Return the status of an instance in trial."""
     return InstanceStatus(
         name=name,
         zone="zone-a",
@@ -121,5 +121,5 @@
 
 
 def is_failure(result, kind):
-    """Return whether a result is a failure of a kind."""
+    """Return whether a result is a failure of the given kind."""
     return isinstance(result, Failure) and result.kind is kind
--- a/chestnuthall/cli/tests/test_burn_flush.py
+++ b/chestnuthall/cli/tests/test_burn_flush.py
@@ -1,4 +1,8 @@
-"""Guards against requests that the stored burn counts miss or count twice."""
+"""Guards against stored burn counts that miss requests or count them twice.
+
+A flush whose write or answer is lost is repeated; the writer must find out whether the
+first write took effect.
+"""
 
 import asyncio
 from random import Random
@@ -7,7 +11,7 @@
 
 from chestnuthall.adapters.documents import JsonBurnCodec, read_environment
 from chestnuthall.adapters.metrics import NullMetrics
-from chestnuthall.cli.tests.fakes import StepClock, TableStore
+from chestnuthall.cli.tests.fakes import FakeClock, InMemoryObjectStore
 from chestnuthall.core.burn.tests.test_burn import account
 from chestnuthall.core.model import Configuration, Refusal
 from chestnuthall.core.results import QUEUE_FULL, ResultCode
@@ -19,13 +23,13 @@
 )
 
 
-def recorder(store, writer, n_instances):
-    keeper = ConfigurationKeeper("trial", store, StepClock(), read_environment)
-    made = BurnRecorder(
+def make_recorder(store, writer, n_instances):
+    keeper = ConfigurationKeeper("trial", store, FakeClock(), read_environment)
+    recorder = BurnRecorder(
         writer=writer,
         environment="trial",
         store=store,
-        clock=StepClock(),
+        clock=FakeClock(),
         metrics=NullMetrics(),
         codec=JsonBurnCodec(),
         configuration=keeper,
@@ -40,32 +44,36 @@
         document=read_environment(TEXT),
     )
     keeper.offer(configuration, "test")
-    return made
+    return recorder
 
 
-def record(target, n):
-    found = account(ResultCode.QUEUE_FULL)
+def record(recorder, n):
+    refused_account = account(ResultCode.QUEUE_FULL)
     for _ in range(n):
-        target.record(
+        recorder.record(
             Refusal(
                 request_id="r",
                 failure=QUEUE_FULL.with_reason("test"),
                 run_state=QUEUE_FULL.run,
                 repeat=QUEUE_FULL.repeat,
                 configuration_revision=1,
-                account=found,
+                account=refused_account,
             )
         )
 
 
-# (case, faults of the writes to come, number of flushes)
+# (case, faults of the next writes, number of flushes)
 FAULTS = [
     ("no fault", [], 1),
     ("answer lost", ["lose_answer"], 1),
     ("write lost", ["lose_write"], 1),
     ("every answer of a flush lost", ["lose_answer"] * 4, 2),
     ("every write of a flush lost", ["lose_write"] * 4, 2),
-    ("both, over flushes", ["lose_write", "lose_answer"] * 4, 3),
+    (
+        "writes and answers lost over several flushes",
+        ["lose_write", "lose_answer"] * 4,
+        3,
+    ),
 ]
 
 
@@ -75,8 +83,8 @@
 @pytest.mark.parametrize("n_instances", [2, 200])
 def test_each_request_is_counted_once(faults, n_flushes, n_instances):
     async def scenario():
-        store = TableStore(faulty_kind="burn")
-        instances = [recorder(store, f"entry-{n}", n_instances) for n in range(2)]
+        store = InMemoryObjectStore(faulty_kind="burn")
+        instances = [make_recorder(store, f"entry-{n}", n_instances) for n in range(2)]
         store.write_faults = list(faults)
         for _ in range(n_flushes):
             for instance in instances:
@@ -93,8 +101,8 @@
     assert n_requests == [6 * n_flushes] * 3
 
 
-def test_idle_instance_makes_no_call():
-    """Guards the store's call rate."""
-    store = TableStore()
-    assert asyncio.run(recorder(store, "entry-0", 1).flush())
+def test_idle_instance_makes_no_store_call():
+    """Guards the limit on the store's call rate against idle instances."""
+    store = InMemoryObjectStore()
+    assert asyncio.run(make_recorder(store, "entry-0", 1).flush())
     assert store.n_calls == 0
--- a/chestnuthall/cli/tests/test_caller_page.py
+++ b/chestnuthall/cli/tests/test_caller_page.py
@@ -1,4 +1,7 @@
-"""Guards docs/caller-interface.md against fields that have changed."""
+"""Guards against docs/caller-interface.md missing fields of requests or answers.
+
+Fails when a field or enum value is added or renamed without the page.
+"""
 
 import json
 import re
@@ -39,37 +42,39 @@
     return re.search(rf"^##+ {title}\n(.*?)(?=^##+ |\Z)", PAGE, re.M | re.S).group(1)
 
 
-def names_in(text):
+def quoted_names(text):
     return set(re.findall(r"`([a-z_]+)`", text))
 
 
-def names_of(kind):
+def field_names(kind):
     return {item.name for item in fields(kind)}
 
 
-def body_of(outcome):
+def body_keys(outcome):
     return set(json.loads(encode_outcome(outcome).body))
 
 
-def inputs():
+def request_field_names():
     models = (SearchModel, LookupModel, MutationModel)
-    every = [item for model in models for item in model.model_fields.items()]
-    return {field.alias or name for name, field in every}
+    model_fields_by_name = [
+        item for model in models for item in model.model_fields.items()
+    ]
+    return {field.alias or name for name, field in model_fields_by_name}
 
 
-# (case, section of the page, names that it must have)
+# (case, section of the page, names that the section must contain)
 CASES = [
-    ("requests", "Requests", inputs()),
-    ("answer", "Answers", body_of(ANSWER)),
-    ("coverage", "Answers", names_of(Coverage) | {"ratio", "start", "end"}),
-    ("hit", "Answers", names_of(Hit)),
-    ("refusal", "Refusals", body_of(REFUSAL)),
+    ("requests", "Requests", request_field_names()),
+    ("answer", "Answers", body_keys(ANSWER)),
+    ("coverage", "Answers", field_names(Coverage) | {"ratio", "start", "end"}),
+    ("hit", "Answers", field_names(Hit)),
+    ("refusal", "Refusals", body_keys(REFUSAL)),
     ("repeat", "Refusals", {item.value for item in RetryAdvice}),
     ("run", "Refusals", {item.value for item in RunState}),
     ("rules", "Account", {item.value for item in AdmissionRule}),
-    ("standing", "Account", names_of(ClassStanding)),
-    ("ahead", "Account", names_of(QueriesAhead)),
-    ("fan-out", "Account", names_of(FanOutAccount)),
+    ("standing", "Account", field_names(ClassStanding)),
+    ("ahead", "Account", field_names(QueriesAhead)),
+    ("fan-out", "Account", field_names(FanOutAccount)),
 ]
 
 
@@ -77,11 +82,11 @@
     ("title", "names"), [case[1:] for case in CASES], ids=[case[0] for case in CASES]
 )
 def test_page_names_every_field(title, names):
-    assert names <= names_in(section(title)), names - names_in(section(title))
+    assert names <= quoted_names(section(title)), names - quoted_names(section(title))
 
 
 def test_page_names_every_field_of_the_account():
     text = section("Account").replace("admission.", "")
     nested = {"admission", "fan_out"}
-    wanted = names_of(Account) - nested | names_of(AdmissionAccount)
-    assert wanted <= names_in(text), wanted - names_in(text)
+    wanted = field_names(Account) - nested | field_names(AdmissionAccount)
+    assert wanted <= quoted_names(text), wanted - quoted_names(text)
--- a/chestnuthall/cli/tests/test_publication.py
+++ b/chestnuthall/cli/tests/test_publication.py
@@ -1,4 +1,7 @@
-"""Guards the rules of revisions, races, promotion and announcement."""
+"""Guards the publication of documents against races, lost answers and outages.
+
+Two operators write to one store, whose writes and answers can be lost.
+"""
 
 import asyncio
 import json
@@ -12,11 +15,11 @@
     read_partition_map,
 )
 from chestnuthall.cli.tests.fakes import (
-    RecordingAdmin,
-    StepClock,
-    TableStore,
+    FakeClock,
+    InMemoryObjectStore,
+    RecordingInstanceAdmin,
     is_failure,
-    status_of,
+    make_status,
 )
 from chestnuthall.core.configuration import PromotionPolicy, PromotionVerdict
 from chestnuthall.core.results import STORE_UNAVAILABLE, STORE_WRITE_UNKNOWN
@@ -31,42 +34,46 @@
 
 
 def document(share):
-    """Return a document; the odd layout must survive promotion byte by byte."""
+    """Return a document with irregular layout, which promotion must not change."""
     return (
         f'{{"classes": {{"clerk": {{"share":  {share}, "deadline_ms": 900}}}},\n'
         ' "groups": {"desk": {"n_slots": 3, "n_connections_max": 30}}} // end\n'
     )
 
 
-class World:
-    """A store, instances and the services of two operators."""
+class PublicationSetup:
+    """A store with two listed instances and the services of an operator's tool."""
 
     def __init__(self, statuses=()):
-        self.store = TableStore()
-        self.clock = StepClock()
-        self.admin = RecordingAdmin(statuses)
+        self.store = InMemoryObjectStore()
+        self.clock = FakeClock()
+        self.admin = RecordingInstanceAdmin(statuses)
         for name in ("entry-0", "entry-1"):
             body = {"name": name, "role": "entry", "zone": "a", "address": name}
             self.store.table.put("instances", name, json.dumps(body), None)
-        self.book = RevisionBook(
+        self.revision_book = RevisionBook(
             self.store, self.clock, JsonRevisionCodec(), read_environment
         )
         fleet = FleetView(
-            self.store, self.admin, self.clock, _read_listed, read_partition_map
+            self.store,
+            self.admin,
+            self.clock,
+            _read_instance_summary,
+            read_partition_map,
         )
         self.fleet = fleet
         tokens = iter(f"token-{n}" for n in range(100))
-        self.publication = Publication(self.book, fleet, lambda: next(tokens))
+        self.publication = Publication(self.revision_book, fleet, lambda: next(tokens))
 
     async def publish(self, share, author="ada", base="read", **options):
         if base == "read":
-            base = await self.book.in_force("trial")
+            base = await self.revision_book.in_force("trial")
         text = document(share)
         draft = self.publication.draft("trial", text, digest_of(text), author, "why")
         return await self.publication.publish(draft, base, **options)
 
-    def put_behind_back(self, share, author, token):
-        """Replace the document as a second operator's tool does."""
+    def replace_concurrently(self, share, author, token):
+        """Replace the document in force from the tool of a second operator."""
 
         async def write():
             other = RevisionBook(
@@ -84,40 +91,41 @@
             coroutine.send(None)
 
 
-def _read_listed(text):
+def _read_instance_summary(text):
     body = json.loads(text)
     return InstanceSummary(body["name"], "entry", "a", body["address"], "live")
 
 
-def test_loser_of_a_race_is_told_who_won_and_what_differs():
-    """Guards against an operator's change being overwritten unseen."""
+def test_lost_race_reports_winner_and_differences():
+    """Guards against an operator's change being overwritten unnoticed."""
 
     async def scenario():
-        world = World()
-        await world.publish(1)
-        base = await world.book.in_force("trial")
-        won = await world.publish(2, "bea", base)
-        lost = await world.publish(3, "ada", base)
-        late = await world.publish(4, "ada", expected_revision=1)
-        return world, won, lost, late
-
-    world, won, lost, late = asyncio.run(scenario())
+        setup = PublicationSetup()
+        await setup.publish(1)
+        base = await setup.revision_book.in_force("trial")
+        won = await setup.publish(2, "bea", base)
+        lost = await setup.publish(3, "ada", base)
+        late = await setup.publish(4, "ada", expected_revision=1)
+        return setup, won, lost, late
+
+    setup, won, lost, late = asyncio.run(scenario())
     assert isinstance(won, Accepted)
     for result, share in ((lost, 3), (late, 4)):
         assert isinstance(result, RaceLost)
         assert (result.winner.author, result.winner.revision) == ("bea", 2)
         shown = [str(item) for item in result.differences]
         assert shown == [f"classes.clerk.share: 2.0 -> {share}.0"]
-    announced = [json.loads(text)["revision"] for _, text in world.admin.announced]
+    announced = [json.loads(text)["revision"] for _, text in setup.admin.announced]
     assert announced == [1, 1, 2, 2]
 
 
-def _replace(world):
-    return lambda: world.put_behind_back(9, "bea", "theirs")
+def _concurrent_replacement(setup):
+    return lambda: setup.replace_concurrently(9, "bea", "theirs")
 
 
-# (case, faults of the writes, reads that fail, what comes out, revision, announced)
-LOST_ANSWERS = [
+# (case, faults of the writes, number of failing reads, type of the result or None for
+# a failure, revision in force, announced)
+WRITE_FAULTS = [
     ("answer lost", ["lose_answer"], 0, Accepted, 2, True),
     ("write lost", ["lose_write"], 0, Accepted, 2, True),
     (
@@ -129,107 +137,113 @@
         True,
     ),
     ("answer lost, then an outage", ["lose_answer"], 9, Accepted, 2, True),
-    ("answer lost, then replaced", [_replace], 0, Accepted, 3, False),
-    ("store gone for good", ["lose_write"] * 999, 999, None, 1, False),
+    ("answer lost, then replaced", [_concurrent_replacement], 0, Accepted, 3, False),
+    ("permanent outage", ["lose_write"] * 999, 999, None, 1, False),
 ]
 
 
 @pytest.mark.parametrize(
     ("faults", "n_failing_reads", "kind", "revision", "is_announced"),
-    [case[1:] for case in LOST_ANSWERS],
-    ids=[case[0] for case in LOST_ANSWERS],
+    [case[1:] for case in WRITE_FAULTS],
+    ids=[case[0] for case in WRITE_FAULTS],
 )
-def test_lost_answer_is_settled_before_anything_is_announced(
+def test_ambiguous_write_is_resolved_before_announcement(
     faults, n_failing_reads, kind, revision, is_announced
 ):
-    """Guards against a document announced that the store does not have."""
+    """Guards against announcing a document that the store does not have."""
 
     async def scenario():
-        world = World()
-        await world.publish(1)
-        world.admin.announced.clear()
-        base = await world.book.in_force("trial")
-        world.store.write_faults = [
-            fault(world) if callable(fault) else fault for fault in faults
+        setup = PublicationSetup()
+        await setup.publish(1)
+        setup.admin.announced.clear()
+        base = await setup.revision_book.in_force("trial")
+        setup.store.write_faults = [
+            fault(setup) if callable(fault) else fault for fault in faults
         ]
         # The two reads of the history before the write must succeed.
-        await world.book.record_in_history(base.record)
+        await setup.revision_book.record_in_history(base.record)
         text = document(2)
-        draft = world.publication.draft("trial", text, digest_of(text), "ada", "why")
+        draft = setup.publication.draft("trial", text, digest_of(text), "ada", "why")
         if n_failing_reads:
-            _fail_reads_after_write(world, n_failing_reads)
-        result = await world.publication.publish(draft, base)
-        world.store.n_failing_reads = 0
-        return world, result, await world.book.in_force("trial")
+            _fail_reads_after_write(setup, n_failing_reads)
+        result = await setup.publication.publish(draft, base)
+        setup.store.n_failing_reads = 0
+        return setup, result, await setup.revision_book.in_force("trial")
 
-    world, result, found = asyncio.run(scenario())
+    setup, result, found = asyncio.run(scenario())
     if kind is None:
         assert is_failure(result, STORE_WRITE_UNKNOWN)
     else:
         assert isinstance(result, kind)
     assert found.record.revision == revision
-    assert bool(world.admin.announced) is is_announced
+    assert bool(setup.admin.announced) is is_announced
 
 
-def _fail_reads_after_write(world, n_failing_reads):
-    write = world.store._write
+def _fail_reads_after_write(setup, n_failing_reads):
+    write = setup.store._write
 
     def failing(kind, *arguments):
         result = write(kind, *arguments)
         if kind == "environments":
-            world.store.n_failing_reads = n_failing_reads
+            setup.store.n_failing_reads = n_failing_reads
         return result
 
-    world.store._write = failing
+    setup.store._write = failing
+
 
+def test_outage_after_acceptance_does_not_delay_announcement():
+    """Guards the limit of 8 s until an accepted revision is in force everywhere.
 
-def test_outage_right_after_the_acceptance_does_not_delay_the_announcement():
-    """Guards the 8 s in which an accepted revision is in force everywhere."""
+    Store calls between the acceptance and the announcement would wait for time-outs.
+    """
 
     async def scenario():
-        world = World()
-        await world.publish(1)
+        setup = PublicationSetup()
+        await setup.publish(1)
         announced_ms = []
-        announce = world.admin.announce
+        announce = setup.admin.announce
 
-        async def announce_noting_time(*arguments):
-            announced_ms.append(world.clock.now_ms())
+        async def announce_recording_time(*arguments):
+            announced_ms.append(setup.clock.now_ms())
             return await announce(*arguments)
 
         async def time_out(*arguments):
-            world.clock.at_ms += 2_000.0
+            setup.clock.at_ms += 2_000.0
             return STORE_UNAVAILABLE.with_reason("down")
 
-        write = world.store._write
+        write = setup.store._write
 
-        def write_then_go_down(*arguments):
+        def write_then_start_outage(*arguments):
             result = write(*arguments)
             if arguments[0] == "environments":
-                world.store.get = world.store.list_kind = time_out
-                world.store.update = world.store.create = time_out
+                setup.store.get = setup.store.list_kind = time_out
+                setup.store.update = setup.store.create = time_out
             return result
 
-        world.admin.announce = announce_noting_time
-        world.store._write = write_then_go_down
-        began_ms = world.clock.now_ms()
-        result = await world.publish(2)
-        return result, [at_ms - began_ms for at_ms in announced_ms]
+        setup.admin.announce = announce_recording_time
+        setup.store._write = write_then_start_outage
+        start_ms = setup.clock.now_ms()
+        result = await setup.publish(2)
+        return result, [at_ms - start_ms for at_ms in announced_ms]
 
     result, delays_ms = asyncio.run(scenario())
     assert isinstance(result, Accepted)
     assert delays_ms == [0.0, 0.0]
 
 
-def test_history_has_no_gap_when_a_writer_ends_after_its_write():
-    """Guards against a revision of which nobody knows who made it."""
+def test_history_is_complete_when_a_writer_stops_after_its_write():
+    """Guards against a revision without author in the history.
+
+    A writer that stops after its write has not added the revision to the history.
+    """
 
     async def scenario():
-        world = World()
-        await world.publish(1, "ada")
-        world.store.table.delete("environment-history", "trial", None)
-        before = await world.book.history("trial")
-        await world.publish(2, "bea")
-        return before, await world.book.history("trial")
+        setup = PublicationSetup()
+        await setup.publish(1, "ada")
+        setup.store.table.delete("environment-history", "trial", None)
+        before = await setup.revision_book.history("trial")
+        await setup.publish(2, "bea")
+        return before, await setup.revision_book.history("trial")
 
     before, after = asyncio.run(scenario())
     assert [item.author for item in before.records] == ["ada"]
@@ -238,10 +252,18 @@
 
 
 GOOD = (("OK", 40), ("QUEUE_FULL", 1))
-# (case, age in ms, digest matches, counts, override, promoted, lack or source)
+# (case, age in ms, digest matches, counts by result, override, promoted, lack)
 PROMOTIONS = [
     ("with evidence", 70_000, True, GOOD, "", True, ""),
-    ("too young", 5_000, True, GOOD, "", False, "in force for 5 s; 60 s are"),
+    (
+        "in force too briefly",
+        5_000,
+        True,
+        GOOD,
+        "",
+        False,
+        "in force for 5 s; 60 s are",
+    ),
     ("other document", 70_000, False, GOOD, "", False, "no instance of trial"),
     ("no requests", 70_000, True, (), "", False, "0 requests were served"),
     ("overridden", 5_000, True, (), "closure tonight", True, ""),
@@ -254,23 +276,23 @@
     [case[1:] for case in PROMOTIONS],
     ids=[case[0] for case in PROMOTIONS],
 )
-def test_promotion_keeps_the_digest_and_needs_evidence(
+def test_promotion_keeps_the_digest_and_requires_evidence(
     age_ms, matches, counts, override, is_promoted, lack
 ):
-    """Guards against production getting what trial did not prove."""
+    """Guards against promoting a document without evidence from trial."""
 
     async def scenario():
-        world = World()
-        accepted = await world.publish(1)
+        setup = PublicationSetup()
+        accepted = await setup.publish(1)
         digest = accepted.record.digest if matches else "other"
-        since = world.clock.wall_ms() - age_ms
+        since = setup.clock.wall_ms() - age_ms
         for name in ("entry-0", "entry-1"):
-            world.admin.statuses[name] = status_of(
+            setup.admin.statuses[name] = make_status(
                 name, digest=digest, since_wall_ms=since, results=counts
             )
-        instances = await world.fleet.entries()
-        evidence = await world.fleet.evidence(accepted.record, instances, ())
-        result = await world.publication.promote(
+        instances = await setup.fleet.entries()
+        evidence = await setup.fleet.evidence(accepted.record, instances, ())
+        result = await setup.publication.promote(
             evidence,
             "production",
             PromotionPolicy(),
@@ -278,7 +300,7 @@
             "proven",
             override_reason=override,
         )
-        return accepted, result, await world.book.in_force("production")
+        return accepted, result, await setup.revision_book.in_force("production")
 
     trial, result, production = asyncio.run(scenario())
     if not is_promoted:
--- a/chestnuthall/cli/tests/test_tool.py
+++ b/chestnuthall/cli/tests/test_tool.py
@@ -1,4 +1,7 @@
-"""Guards the commands, their exit codes and their messages."""
+"""Guards against commands with a wrong exit code, message or effect on a fleet.
+
+Scripts rely on the exit codes; an error must print a message, not a traceback.
+"""
 
 import asyncio
 import json
@@ -8,15 +11,15 @@
 import pytest
 
 from chestnuthall.cli import main
-from chestnuthall.cli._exits import MEANINGS, ExitCode
+from chestnuthall.cli._exit_codes import MEANINGS, ExitCode
 from chestnuthall.standins.fleet import FleetPlan, GroupPlan, LocalFleet
 
 ROOT = Path(__file__).parents[3]
 DOCUMENT = ROOT / "examples" / "environment.jsonc"
 STORE = ["--store", "127.0.0.1:1", "--operator", "ada"]
 
-# (case, arguments, exit code, part of what is printed)
-SINGLE = [
+# (case, arguments, exit code, fragment of the output)
+SINGLE_COMMANDS = [
     ("help", ["--help"], 0, "chestnuthall promote --reason"),
     ("help of a command", ["trial", "--help"], 0, "--expect-revision 7"),
     ("version", ["--version"], 0, "0.1.0"),
@@ -32,50 +35,62 @@
     ("unknown command", ["chek"], 2, 'Did you mean "check"?'),
     ("missing argument", ["trial"], 2, "--file"),
     ("no profile", ["status"], 2, "no profile found; give --profile FILE"),
-    ("bad store", ["status", "--store", "x", "--operator", "a"], 2, "write the store"),
-    ("store gone", ["status", *STORE], 5, "STORE_UNAVAILABLE (5000)"),
+    (
+        "invalid store address",
+        ["status", "--store", "x", "--operator", "a"],
+        2,
+        "write the store",
+    ),
+    ("store unreachable", ["status", *STORE], 5, "STORE_UNAVAILABLE (5000)"),
     ("empty reason", ["promote", "--reason", " ", *STORE], 2, "the reason is empty"),
-    ("no account", ["explain", str(DOCUMENT)], 1, "not JSON"),
-    ("zero drain", ["drain", "upstream", "u", "--for-s", "0", *STORE], 2, "greater"),
+    ("not an account", ["explain", str(DOCUMENT)], 1, "not JSON"),
+    (
+        "drain of zero duration",
+        ["drain", "upstream", "u", "--for-s", "0", *STORE],
+        2,
+        "greater",
+    ),
 ]
 
 
 @pytest.mark.parametrize(
-    ("arguments", "code", "part"), [c[1:] for c in SINGLE], ids=[c[0] for c in SINGLE]
+    ("arguments", "code", "fragment"),
+    [c[1:] for c in SINGLE_COMMANDS],
+    ids=[c[0] for c in SINGLE_COMMANDS],
 )
-def test_mistakes_get_a_code_and_a_sentence(
-    arguments, code, part, capsys, monkeypatch, tmp_path
+def test_exit_code_and_message(
+    arguments, code, fragment, capsys, monkeypatch, tmp_path
 ):
     monkeypatch.chdir(tmp_path)
     (tmp_path / "s.jsonc").write_text('{\n "name": "Entry 0" // no\n}')
     (tmp_path / "p.jsonc").write_text('{"store_address": "[::1]:1", "operator": "a"}')
     monkeypatch.delenv("CHESTNUTHALL_PROFILE", raising=False)
-    with pytest.raises(SystemExit) as stopped:
+    with pytest.raises(SystemExit) as exit_info:
         main(arguments)
     printed = capsys.readouterr()
-    assert stopped.value.code == code, printed
-    assert part in " ".join((printed.out + printed.err).split()), printed
+    assert exit_info.value.code == code, printed
+    assert fragment in " ".join((printed.out + printed.err).split()), printed
     assert "Traceback" not in printed.err
 
 
 @pytest.mark.parametrize("code", ExitCode, ids=lambda code: code.name)
-def test_docs_table_every_exit_code(code):
+def test_docs_list_every_exit_code(code):
     row = f"| {int(code)} | {MEANINGS[code]} |"
     assert row in (ROOT / "docs" / "cli.md").read_text().splitlines()
 
 
 SEARCH = {"class": "planner", "group": "planner-desk", "query": "x"}
-TRIAL = ["trial", "new.jsonc", "--reason", "more"]
-RACE = ["trial", "other.jsonc", "--reason", "late", "--expect-revision", "1"]
+PUT_IN_TRIAL = ["trial", "new.jsonc", "--reason", "more"]
+LOSE_RACE = ["trial", "other.jsonc", "--reason", "late", "--expect-revision", "1"]
 
-# (arguments, exit code, part of what is printed); run in this order
-SEQUENCE = [
+# (arguments, exit code, fragment of the output), run in this order
+COMMAND_SEQUENCE = [
     (["diff", "new.jsonc"], 0, "classes.crew.share"),
     (["promote", "--reason", "early"], 4, "0 requests were served under it"),
-    (TRIAL, 0, "in force on all 2 instances"),
-    (TRIAL, 0, "exactly this document in force already, as revision 2 by ada"),
-    ([*RACE, "--operator", "bea"], 3, "ada was first: trial revision 2"),
-    ([*RACE, "--operator", "bea"], 3, "classes.crew.share: 4.0 -> 1.0"),
+    (PUT_IN_TRIAL, 0, "in force on all 2 instances"),
+    (PUT_IN_TRIAL, 0, "exactly this document in force already, as revision 2 by ada"),
+    ([*LOSE_RACE, "--operator", "bea"], 3, "ada was first: trial revision 2"),
+    ([*LOSE_RACE, "--operator", "bea"], 3, "classes.crew.share: 4.0 -> 1.0"),
     (["promote", "--reason", "p", "--file", "other.jsonc"], 4, "trial has digest"),
     (["promote", "--reason", "p", "--override", "no traffic"], 0, "production revisio"),
     (["promote", "--reason", "again"], 0, "exactly this document in force already"),
@@ -97,8 +112,8 @@
 
 
 @pytest.mark.processes
-def test_from_trial_to_production(tmp_path):
-    """Guards the whole way of a document through the tool on a local fleet."""
+def test_document_from_trial_to_production(tmp_path):
+    """Guards the path of a document from `diff` to production on a local fleet."""
     text = DOCUMENT.read_text()
     (tmp_path / "new.jsonc").write_text(text.replace('"share": 3', '"share": 4'))
     (tmp_path / "other.jsonc").write_text(text.replace('"share": 3', '"share": 1'))
@@ -137,7 +152,7 @@
             profile = {"store_address": fleet.store_address, "operator": "ada"}
             (tmp_path / "chestnuthall.jsonc").write_text(json.dumps(profile))
             results = []
-            for arguments, *_ in SEQUENCE:
+            for arguments, *_ in COMMAND_SEQUENCE:
                 if arguments == ["search"]:
                     await search(fleet)
                     results.append((0, ""))
@@ -146,11 +161,11 @@
             return results
 
     results = asyncio.run(scenario())
-    for (arguments, code, part), (returned, printed) in zip(
-        SEQUENCE, results, strict=True
+    for (arguments, code, fragment), (returned, printed) in zip(
+        COMMAND_SEQUENCE, results, strict=True
     ):
         assert returned == code, (arguments, printed)
-        assert part in " ".join(printed.split()), (arguments, printed)
+        assert fragment in " ".join(printed.split()), (arguments, printed)
         assert "Traceback" not in printed
     page = (tmp_path / "burn.html").read_text()
     assert "<svg" in page
--- a/chestnuthall/cli/tests/test_why.py
+++ b/chestnuthall/cli/tests/test_why.py
@@ -1,4 +1,8 @@
-"""Guards the way from a request's id to the decision that settled it."""
+"""Guards against `why` missing, misordering or misattributing decisions.
+
+The lines of a request are spread over the logs of several instances, are not in order
+of time, may follow a host name, and may be truncated.
+"""
 
 import json
 
@@ -23,12 +27,12 @@
     time="2026-12-04 10:00:01,000",
     request_id="q1",
 )
-TORN = '{"event": "call_sent", "request_id": "q1", "ti'
+TRUNCATED = '{"event": "call_sent", "request_id": "q1", "ti'
 
-# (case, log files, request, exit code, parts of the output in their order)
+# (case, log files, request id, exit code, fragments of the output in order)
 CASES = [
     (
-        "in order of the decisions",
+        "sorted by decision time",
         [[REFUSED, SETTLED, OTHER, FAILED, SENT]],
         "q1",
         0,
@@ -42,14 +46,14 @@
         ["entry-1 call_sent", "request_refused", "entry-2 request_answered"],
     ),
     (
-        "behind the name of a machine",
+        "after a host name",
         [[f"  0.5 entry-1 {SENT}", "not a log line"]],
         "q1",
         0,
         ["call_sent", "no decision settled the request"],
     ),
-    ("torn line", [[TORN, REFUSED]], "q1", 0, ["request_refused", "1 lines"]),
-    ("only a torn line", [[TORN]], "q1", 8, ["1 of them name it"]),
+    ("truncated line", [[TRUNCATED, REFUSED]], "q1", 0, ["request_refused", "1 lines"]),
+    ("only a truncated line", [[TRUNCATED]], "q1", 8, ["1 of them name it"]),
     ("no such request", [[OTHER]], "q1", 8, ["no line of request q1 in 1 lines"]),
     ("id inside another id", [[REFUSED]], "q", 8, ["no line of request q"]),
     ("another format", [["plain text", ""]], "q1", 1, ["no line in the format"]),
@@ -57,32 +61,34 @@
 
 
 @pytest.mark.parametrize(
-    ("logs", "request_id", "code", "parts"),
+    ("logs", "request_id", "code", "fragments"),
     [case[1:] for case in CASES],
     ids=[case[0] for case in CASES],
 )
-def test_story(logs, request_id, code, parts, capsys, tmp_path):
+def test_decisions_of_a_request_are_printed(
+    logs, request_id, code, fragments, capsys, tmp_path
+):
     paths = []
     for number, lines in enumerate(logs):
         path = tmp_path / f"{number}.log"
         path.write_text("\n".join(lines))
         paths.append(str(path))
-    with pytest.raises(SystemExit) as stopped:
+    with pytest.raises(SystemExit) as exit_info:
         main(["why", request_id, *paths])
     printed = capsys.readouterr()
     text = " ".join((printed.out + printed.err).split())
-    assert stopped.value.code == code, text
-    for part in parts:
-        assert part in text, text
-        text = text[text.index(part) + len(part) :]
+    assert exit_info.value.code == code, text
+    for fragment in fragments:
+        assert fragment in text, text
+        text = text[text.index(fragment) + len(fragment) :]
 
 
 @pytest.mark.parametrize(
-    ("arguments", "part"),
+    ("arguments", "fragment"),
     [(["why", "q1"], "at least one log"), (["why", "q1", "/nowhere"], "cannot read")],
 )
-def test_mistakes(arguments, part, capsys):
-    with pytest.raises(SystemExit) as stopped:
+def test_usage_errors(arguments, fragment, capsys):
+    with pytest.raises(SystemExit) as exit_info:
         main(arguments)
-    assert stopped.value.code == 2
-    assert part in " ".join(capsys.readouterr().err.split())
+    assert exit_info.value.code == 2
+    assert fragment in " ".join(capsys.readouterr().err.split())
