--- a/chestnuthall/standins/__init__.py
+++ b/chestnuthall/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small emulators of the platform and of upstreams, for demos and tests."""
+"""Emulators of the platform and of upstreams, for demos and tests."""
--- a/chestnuthall/standins/_process.py
+++ b/chestnuthall/standins/_process.py
@@ -1,4 +1,4 @@
-"""Running one stand-in as a process."""
+"""Runs an emulator as a process."""
 
 import asyncio
 import signal
--- a/chestnuthall/standins/fleet/__init__.py
+++ b/chestnuthall/standins/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""A small fleet of processes on loopback, for demos and failure tests."""
+"""A local fleet of processes on loopback, for demos and failure tests."""
 
 from chestnuthall.standins.fleet._client import JsonClient, Reply
 from chestnuthall.standins.fleet._fleet import FleetPlan, GroupPlan, LocalFleet
--- a/chestnuthall/standins/fleet/__main__.py
+++ b/chestnuthall/standins/fleet/__main__.py
@@ -1,4 +1,4 @@
-"""Runs a local fleet until Ctrl-C, to try the operators' tool on.
+"""Runs a local fleet until Ctrl-C, for trials of the operators' tool.
 
 It starts three instances that follow trial and one that follows production,
 and writes a profile for the tool. Production has no document at first.
@@ -39,7 +39,7 @@
     async with LocalFleet(plan) as fleet:
         running = await fleet.start_instance(N_TRIAL_INSTANCES, "production")
         fleet.instances.append(running)
-        # It answers operators, though without a document it is not ready.
+        # Without a document the instance is not ready, but it serves operators.
         await running.client.wait_status("/v1/admin/status", 200)
         profile = {
             "store_address": fleet.store_address,
@@ -49,7 +49,10 @@
         arguments.profile.write_text(json.dumps(profile, indent=2) + "\n")
         for item in fleet.instances:
             print(f"{item.name} {item.address} pid {item.process.pid}", flush=True)
-        print(f"profile written to {arguments.profile}; Ctrl-C ends it", flush=True)
+        print(
+            f"profile written to {arguments.profile}; press Ctrl-C to stop the fleet",
+            flush=True,
+        )
         await stopped.wait()
 
 
--- a/chestnuthall/standins/fleet/_client.py
+++ b/chestnuthall/standins/fleet/_client.py
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Status and JSON body; status 0 stands for a failed exchange."""
+    """Status, JSON body and headers; status 0 means that the exchange failed."""
 
     status: int
     body: dict[str, Any]
@@ -58,14 +58,14 @@
             async with asyncio.timeout(timeout_s):
                 return await connection.request(request)
         except TimeoutError:
-            return CALL_TIMED_OUT.with_reason("no reply in time")
+            return CALL_TIMED_OUT.with_reason("the server did not reply in time")
         finally:
             self._pool.release(connection)
 
     async def wait_status(
         self, target: str, status: int, timeout_s: float = 15.0
     ) -> None:
-        """Ask until a target answers with a status; raise TimeoutError if not."""
+        """Poll a target until it answers with a status, or raise TimeoutError."""
         async with asyncio.timeout(timeout_s):
             reply = await self.send("GET", target, timeout_s=1.0)
             while reply.status != status:
--- a/chestnuthall/standins/fleet/_fleet.py
+++ b/chestnuthall/standins/fleet/_fleet.py
@@ -1,4 +1,4 @@
-"""Object API, upstream replicas and entry instances as processes."""
+"""Local fleet of object API, upstream replicas and entry instances as processes."""
 
 import asyncio
 import json
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FleetPlan:
-    """What a local fleet consists of."""
+    """Composition of a local fleet."""
 
     groups: tuple[GroupPlan, ...]
     document_text: str
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True)
 class RunningReplica:
-    """One upstream process with what it serves."""
+    """One upstream process and the shard that it serves."""
 
     replica: Replica
     group: str
@@ -97,7 +97,7 @@
 class LocalFleet:
     """Starts, changes and stops the processes of a fleet.
 
-    Use it as an asynchronous context manager; leaving it ends every process.
+    Use it as an asynchronous context manager, which stops every process on exit.
     """
 
     def __init__(self, plan: FleetPlan) -> None:
@@ -183,16 +183,18 @@
         return RunningReplica(replica, plan.name, f"s{shard_index:02d}", process)
 
     async def publish_snapshot(
-        self, partition_map: PartitionMap, held_ids: tuple[int, ...] = ()
+        self, partition_map: PartitionMap, retained_ids: tuple[int, ...] = ()
     ) -> None:
         """Load a snapshot into all replicas, then publish its map.
 
-        ``held_ids`` are the older snapshots that the replicas keep.
+        ``retained_ids`` are the older snapshots that the replicas keep serving.
         """
         text = encode_partition_map(partition_map)
         await asyncio.gather(
             *(
-                self._load_snapshots(item, partition_map.snapshot_id, held_ids, text)
+                self._load_snapshots(
+                    item, partition_map.snapshot_id, retained_ids, text
+                )
                 for item in self.replicas
                 if item.group == partition_map.group and item.process.is_running
             )
@@ -202,7 +204,11 @@
         await self.store.send("PUT", target, json.loads(text))
 
     async def _load_snapshots(
-        self, item: RunningReplica, newest_id: int, held_ids: tuple[int, ...], text: str
+        self,
+        item: RunningReplica,
+        newest_id: int,
+        retained_ids: tuple[int, ...],
+        text: str,
     ) -> None:
         plan = next(plan for plan in self.plan.groups if plan.name == item.group)
         keys = keys_of_shard(plan, int(item.shard_id[1:]))
@@ -213,7 +219,7 @@
                 "shard_id": item.shard_id,
                 "keys": keys,
             }
-            for snapshot_id in (*held_ids, newest_id)
+            for snapshot_id in (*retained_ids, newest_id)
         ]
         body = {"snapshots": snapshots, "partition_map": text}
         client = JsonClient(item.replica.address)
@@ -221,7 +227,7 @@
         client.close()
 
     async def put_document(self, text: str, revision: int) -> None:
-        """Put a document in force without the operators' tool."""
+        """Write a document to the store directly, without the operators' tool."""
         model = ConfigurationModel(
             environment=self.plan.environment,
             revision=revision,
@@ -234,9 +240,9 @@
     async def start_instance(
         self, index: int, environment: str | None = None
     ) -> RunningInstance:
-        """Start one entry instance and enter it in the platform's list.
+        """Start one entry instance and add it to the platform's list of instances.
 
-        It follows the plan's environment unless another one is named.
+        The instance follows the environment of the plan unless another is given.
         """
         name = f"entry-{index}"
         zone = self.plan.zones[index % len(self.plan.zones)]
--- a/chestnuthall/standins/fleet/_process.py
+++ b/chestnuthall/standins/fleet/_process.py
@@ -20,7 +20,7 @@
 
 
 class ManagedProcess:
-    """A Python module that runs as a process and is ended by its id."""
+    """A Python module that runs as a process and is stopped by its process id."""
 
     def __init__(self, name: str, process: Process) -> None:
         self.name = name
@@ -46,20 +46,20 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether the process has not ended."""
+        """Whether the process is still running."""
         return self._process.returncode is None
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Send a signal to the process if it still runs."""
+        """Send a signal to the process if it is still running."""
         if self.is_running:
             self._process.send_signal(number)
 
     async def wait(self) -> int:
-        """Wait for the end of the process; return its exit status."""
+        """Wait until the process exits; return its exit status."""
         return await self._process.wait()
 
     async def stop(self, number: signal.Signals = signal.SIGTERM) -> int:
-        """End the process, by SIGKILL if it does not end in time."""
+        """Stop the process, by SIGKILL if it does not exit in time."""
         self.send_signal(number)
         try:
             return await asyncio.wait_for(self._process.wait(), STOP_TIMEOUT_S)
--- a/chestnuthall/standins/load/__init__.py
+++ b/chestnuthall/standins/load/__init__.py
@@ -1,4 +1,4 @@
-"""Load on real instances, with a check of every answer."""
+"""Load generator for running instances that checks every answer."""
 
 from chestnuthall.standins.load._checker import AnswerChecker, Violation
 from chestnuthall.standins.load._driver import LoadDriver, LoadPlan, LoadReport
--- a/chestnuthall/standins/load/_driver.py
+++ b/chestnuthall/standins/load/_driver.py
@@ -1,4 +1,4 @@
-"""Open-loop load from one process on the instances of a local fleet."""
+"""Open-loop load generator for the instances of a local fleet."""
 
 import asyncio
 import time
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LoadPlan:
-    """What is sent; rates are requests a second."""
+    """The requests to send; rates are in requests per second."""
 
     search_group: str
     mutation_group: str
@@ -32,10 +32,10 @@
 
 @dataclass(slots=True)
 class LoadReport:
-    """What became of the requests.
+    """Results of the requests.
 
-    ``mutation_runs`` maps an idempotency key to what its replies said about a
-    run; ``disconnected`` counts, by instance, requests without any reply.
+    ``mutation_runs`` maps an idempotency key to the run states that its replies
+    report. ``disconnected`` counts the requests without a reply by instance.
     """
 
     codes: Counter[str] = field(default_factory=Counter)
@@ -47,27 +47,28 @@
 
     @property
     def n_requests(self) -> int:
-        """Requests that got a reply or lost their connection."""
+        """Number of requests that were answered or failed without a reply."""
         return sum(self.codes.values())
 
 
 class LoadDriver:
     """Sends searches, lookups and mutations, and checks every answer.
 
-    Each mutation is sent twice with the same key, to instances chosen anew,
-    as a caller does that does not know whether the first one arrived.
+    Each mutation is sent twice with the same key, to independently chosen
+    instances, like by a caller that does not know whether its first request
+    arrived.
     """
 
     def __init__(
         self,
         plan: LoadPlan,
         checker: AnswerChecker,
-        choose: ClientChooser,
+        choose_client: ClientChooser,
         seed: int,
     ) -> None:
         self._plan = plan
         self._checker = checker
-        self._choose = choose
+        self._choose_client = choose_client
         self._random = Random(f"{seed}/load")
         self._seed = seed
         self._n_sent = 0
@@ -76,22 +77,24 @@
         self.report = LoadReport()
 
     async def run(self) -> LoadReport:
-        """Send until stopped, then wait for the last replies."""
+        """Send requests until stopped, then wait for the outstanding replies."""
         plan = self._plan
         await asyncio.gather(
-            self._send_at(plan.search_rate_per_s, self._search),
-            self._send_at(plan.lookup_rate_per_s, self._lookup),
-            self._send_at(plan.mutation_rate_per_s, self._mutate),
+            self._send_at_rate(plan.search_rate_per_s, self._search),
+            self._send_at_rate(plan.lookup_rate_per_s, self._lookup),
+            self._send_at_rate(plan.mutation_rate_per_s, self._mutate),
         )
         while self._tasks:
             await asyncio.gather(*self._tasks)
         return self.report
 
     def stop(self) -> None:
-        """Send nothing more."""
+        """Stop sending requests."""
         self._stopped.set()
 
-    async def _send_at(self, rate_per_s: float, send: Callable[[str], Any]) -> None:
+    async def _send_at_rate(
+        self, rate_per_s: float, send: Callable[[str], Any]
+    ) -> None:
         while rate_per_s > 0.0:
             try:
                 async with asyncio.timeout(self._random.expovariate(rate_per_s)):
@@ -101,13 +104,13 @@
                 self._n_sent += 1
                 self._spawn(send(f"load-{self._seed}-{self._n_sent}"))
 
-    def _spawn(self, work: Any) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _spawn(self, coroutine: Any) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def _post(self, target: str, body: dict[str, Any]) -> Reply:
-        name, client = self._choose()
+        name, client = self._choose_client()
         started_s = time.perf_counter()
         reply = await client.send("POST", target, body, self._plan.timeout_s)
         self.report.latencies_ms.append((time.perf_counter() - started_s) * 1000.0)
@@ -116,13 +119,15 @@
             self.report.disconnected[name] += 1
         return reply
 
-    def _note(self, request_id: str, violations: list[Any], reply: Reply) -> None:
+    def _record_violations(
+        self, request_id: str, violations: list[Any], reply: Reply
+    ) -> None:
         for violation in violations:
             self.report.violations[violation.value] += 1
             if len(self.report.examples) < 5:
                 self.report.examples.append(f"{request_id}: {reply.body}")
 
-    def _shared(self, request_id: str, group: str) -> dict[str, Any]:
+    def _common_fields(self, request_id: str, group: str) -> dict[str, Any]:
         return {
             "request_id": request_id,
             "class": self._plan.class_name,
@@ -132,7 +137,7 @@
     async def _search(self, request_id: str) -> None:
         plan = self._plan
         body = {
-            **self._shared(request_id, plan.search_group),
+            **self._common_fields(request_id, plan.search_group),
             "query": request_id,
             "n_hits_max": plan.n_hits_max,
         }
@@ -141,31 +146,33 @@
             violations = self._checker.check_search(
                 request_id, plan.n_hits_max, reply.body
             )
-            self._note(request_id, violations, reply)
+            self._record_violations(request_id, violations, reply)
 
     async def _lookup(self, request_id: str) -> None:
         key = self._random.choice(self._plan.lookup_keys)
-        body = {**self._shared(request_id, self._plan.search_group), "key": key}
+        body = {**self._common_fields(request_id, self._plan.search_group), "key": key}
         reply = await self._post("/v1/lookup", body)
         if reply.status == 200:
-            self._note(request_id, self._checker.check_lookup(key, reply.body), reply)
+            self._record_violations(
+                request_id, self._checker.check_lookup(key, reply.body), reply
+            )
 
     async def _mutate(self, request_id: str) -> None:
         body = {
-            **self._shared(request_id, self._plan.mutation_group),
+            **self._common_fields(request_id, self._plan.mutation_group),
             "key": "line-7",
             "payload": request_id,
             "idempotency_key": f"key-{request_id}",
             "issued_at_ms": LoopClock().wall_ms(),
         }
         replies = await asyncio.gather(
-            self._post("/v1/mutate", body), self._post_later("/v1/mutate", body)
+            self._post("/v1/mutate", body), self._post_after_delay("/v1/mutate", body)
         )
         self.report.mutation_runs[f"key-{request_id}"] = [
             "yes" if reply.status == 200 else str(reply.body.get("run", "unknown"))
             for reply in replies
         ]
 
-    async def _post_later(self, target: str, body: dict[str, Any]) -> Reply:
+    async def _post_after_delay(self, target: str, body: dict[str, Any]) -> Reply:
         await asyncio.sleep(self._random.choice((0.0, 0.01, 0.5)))
         return await self._post(target, body)
--- a/chestnuthall/standins/load/tests/test_checker.py
+++ b/chestnuthall/standins/load/tests/test_checker.py
@@ -1,4 +1,4 @@
-"""Guards the check of answers: a check that finds nothing proves nothing."""
+"""Guards against a checker that misses violations, so that load tests always pass."""
 
 import pytest
 
@@ -10,7 +10,7 @@
     {"key": key, "score": score, "record": record}
     for key, score, record in IndexSnapshot("g", 2, "s", KEYS).search("q", 4)
 ]
-WHOLE = {
+COMPLETE_ANSWER = {
     "hits": HITS,
     "snapshot_id": 2,
     "coverage": {"n_documents_covered": 10, "missing_ranges": []},
@@ -20,7 +20,7 @@
 @pytest.mark.parametrize(
     ("changes", "violations"),
     [
-        pytest.param({}, [], id="whole"),
+        pytest.param({}, [], id="complete"),
         pytest.param({"snapshot_id": 3}, [Violation.MIXED_SNAPSHOT], id="mixed"),
         pytest.param(
             {"coverage": {"n_documents_covered": 9, "missing_ranges": []}},
@@ -37,9 +37,9 @@
             [Violation.WRONG_COVERAGE, Violation.FOREIGN_ANSWER],
             id="coverage-too-high",
         ),
-        pytest.param({"hits": HITS[:3]}, [Violation.FOREIGN_ANSWER], id="hit-lost"),
+        pytest.param({"hits": HITS[:3]}, [Violation.FOREIGN_ANSWER], id="hit-missing"),
     ],
 )
-def test_each_broken_promise_is_found(changes, violations):
+def test_each_violation_is_found(changes, violations):
     checker = AnswerChecker("g", KEYS)
-    assert checker.check_search("q", 4, {**WHOLE, **changes}) == violations
+    assert checker.check_search("q", 4, {**COMPLETE_ANSWER, **changes}) == violations
--- a/chestnuthall/standins/objectapi/_faults.py
+++ b/chestnuthall/standins/objectapi/_faults.py
@@ -1,11 +1,11 @@
-"""Faults that the emulator can be told to show."""
+"""Faults that the object API emulator can inject."""
 
 from dataclasses import dataclass
 from enum import Enum
 
 
 class Outage(Enum):
-    """How calls fail while the store is down; none of them has an effect."""
+    """How calls fail during an outage; a failed call has no effect."""
 
     NONE = ""
     REFUSED = "refused"
@@ -14,7 +14,7 @@
 
 
 class LostAnswer(Enum):
-    """What the client sees of a write that took effect."""
+    """What the client receives instead of the answer to a write that took effect."""
 
     WITHHELD = "withheld"
     CUT = "cut"
@@ -23,14 +23,15 @@
 
 @dataclass(slots=True, kw_only=True)
 class StoreFaults:
-    """Set over HTTP by ``PUT /faults``; durations in milliseconds.
-
-    ``outage_ms`` ends an outage by itself; 0 leaves it until the faults are
-    set again. ``n_lost_write_answers`` and ``n_late_writes`` count down with
-    each write. A late write is withheld from the client and applied after
-    ``late_write_ms``, if its condition still holds then. ``stale_read_ms`` and
-    ``list_lag_ms`` (list of instances only) answer reads from the past.
-    ``n_calls_per_s_max`` of 0 sets no limit.
+    """Active faults, set by ``PUT /faults``.
+
+    An outage ends after ``outage_ms``; with 0 it lasts until the faults are set
+    again. ``n_lost_write_answers`` and ``n_late_writes`` decrease with each
+    write that they affect. A late write is never answered and is applied after
+    ``late_write_ms`` if its condition still holds then. Reads return the state
+    of ``stale_read_ms`` ago, and the list of instances the state of
+    ``list_lag_ms`` ago if that is longer. ``n_calls_per_s_max`` of 0 sets no
+    limit.
     """
 
     outage: Outage = Outage.NONE
--- a/chestnuthall/standins/objectapi/_memory.py
+++ b/chestnuthall/standins/objectapi/_memory.py
@@ -1,4 +1,4 @@
-"""The object store port in memory, with the emulator's versions and faults."""
+"""In-memory implementation of the object store port on the emulator's service."""
 
 import asyncio
 
@@ -16,8 +16,8 @@
 from chestnuthall.ports import StoredObject, WatchBatch
 from chestnuthall.standins.objectapi._service import (
     Call,
+    ConnectionDrop,
     DeleteCall,
-    Drop,
     GetCall,
     ListCall,
     ObjectService,
@@ -26,7 +26,7 @@
     WatchCall,
 )
 
-# Time that a watch may take beyond the wait that it asks for.
+# Added to the wait time of a watch to give the timeout of its call.
 WATCH_MARGIN_MS = 1_000.0
 
 _KINDS: dict[int, FailureKind] = {
@@ -42,8 +42,8 @@
 class MemoryObjectStore:
     """A client of an ``ObjectService`` without any transport.
 
-    Several clients of one service see each other's writes; setting
-    ``is_cut_off`` separates a single one from the service.
+    Clients of the same service see each other's writes. While ``is_cut_off``
+    is set, calls of this client are refused.
     """
 
     def __init__(self, service: ObjectService) -> None:
@@ -100,13 +100,15 @@
             tuple(body["deleted_names"]),  # type: ignore[arg-type]
         )
 
-    async def _call(self, call: Call, timeout_ms: float) -> Reply | Drop | None:
-        """Return the reply, or None where none came in time."""
+    async def _call(
+        self, call: Call, timeout_ms: float
+    ) -> Reply | ConnectionDrop | None:
+        """Return the reply, or None if the call timed out."""
         if self.is_cut_off:
-            return Drop.REFUSED
+            return ConnectionDrop.REFUSED
         try:
-            # ``wait_for`` of Python 3.11 loses a cancellation that arrives in
-            # the same turn as the result.
+            # ``asyncio.wait_for`` of Python 3.11 loses a cancellation that
+            # arrives in the same iteration of the event loop as the result.
             async with asyncio.timeout(max(0.0, timeout_ms) / 1000.0):
                 return await self.service.serve(call)
         except TimeoutError:
@@ -115,24 +117,24 @@
     async def _read(self, call: Call, timeout_ms: float) -> Reply | Failure:
         reply = await self._call(call, timeout_ms)
         if not isinstance(reply, Reply):
-            return STORE_UNAVAILABLE.with_reason("no answer")
+            return STORE_UNAVAILABLE.with_reason("the store did not answer")
         if reply.status == 200:
             return reply
         kind = _KINDS.get(reply.status, STORE_UNAVAILABLE)
-        return kind.with_reason(f"status {reply.status}")
+        return kind.with_reason(f"the store answered with status {reply.status}")
 
     async def _write(
         self, call: PutCall | DeleteCall, timeout_ms: float
     ) -> StoredObject | Failure:
         reply = await self._call(call, timeout_ms)
-        if reply is Drop.REFUSED:
-            return STORE_UNAVAILABLE.with_reason("the connection was refused")
+        if reply is ConnectionDrop.REFUSED:
+            return STORE_UNAVAILABLE.with_reason("the store refused the connection")
         if not isinstance(reply, Reply):
-            return STORE_WRITE_UNKNOWN.with_reason("no answer")
+            return STORE_WRITE_UNKNOWN.with_reason("the store did not answer")
         if reply.status == 200:
             return _object_of(reply.body)
         kind = _KINDS.get(reply.status, STORE_WRITE_UNKNOWN)
-        return kind.with_reason(f"status {reply.status}")
+        return kind.with_reason(f"the store answered with status {reply.status}")
 
 
 def _object_of(body: dict[str, object]) -> StoredObject:
--- a/chestnuthall/standins/objectapi/_objects.py
+++ b/chestnuthall/standins/objectapi/_objects.py
@@ -1,4 +1,4 @@
-"""Objects with versions and a bounded history of changes."""
+"""Versioned objects and a bounded history of their changes."""
 
 import asyncio
 from collections.abc import Callable
@@ -6,25 +6,25 @@
 
 N_CHANGES_KEPT = 10_000
 N_VALUE_BYTES_MAX = 1024 * 1024
-# Older states of one object that stale reads can return.
+# Number of states of each object that are kept for stale reads.
 N_STATES_KEPT = 8
 
 
 class VersionConflict(Exception):
-    """The condition of a write does not hold."""
+    """The object is not at the version that the write requires."""
 
 
 class UnknownObject(Exception):
-    """There is no object of that name."""
+    """There is no object of that kind and name."""
 
 
 class HistoryTrimmed(Exception):
-    """Changes after the version asked for are no longer kept."""
+    """The history no longer covers all changes after the requested version."""
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One object with the version of its last write."""
+    """One object and the version of its last write."""
 
     kind: str
     name: str
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
+class ObjectChange:
     """One write; ``entry`` is None for a deletion."""
 
     version: int
@@ -47,14 +47,17 @@
 
 
 class ObjectTable:
-    """All objects; versions grow by one with each write to any object."""
+    """All objects of the store.
+
+    Each write to any object increases the version of the table by one.
+    """
 
     def __init__(self, read_time_s: Callable[[], float] = _loop_time_s) -> None:
         self.version = 0
         self.trimmed_version = 0
         self._read_time_s = read_time_s
         self._states: dict[tuple[str, str], list[tuple[float, Entry | None]]] = {}
-        self._changes: list[Change] = []
+        self._changes: list[ObjectChange] = []
         self._changed = asyncio.Event()
 
     def get(self, kind: str, name: str, lag_s: float = 0.0) -> Entry:
@@ -69,7 +72,7 @@
         if states and lag_s <= 0.0:
             return states[-1][1]
         as_of_s = self._read_time_s() - lag_s
-        past = [entry for landed_s, entry in states if landed_s <= as_of_s]
+        past = [entry for written_s, entry in states if written_s <= as_of_s]
         if not past and len(states) == N_STATES_KEPT:
             return states[0][1]
         return past[-1] if past else None
@@ -83,9 +86,9 @@
     def put(
         self, kind: str, name: str, value: str, expected_version: int | None
     ) -> Entry:
-        """Write an object; ``expected_version`` 0 requires that there is none.
+        """Write an object, under a condition unless ``expected_version`` is None.
 
-        None writes without a condition.
+        An expected version of 0 requires that the object does not exist.
         """
         current = self._state_of((kind, name), 0.0)
         current_version = 0 if current is None else current.version
@@ -93,7 +96,7 @@
             raise VersionConflict(f"{kind}/{name} is at version {current_version}")
         self.version += 1
         entry = Entry(kind, name, self.version, value)
-        self._note(Change(self.version, kind, name, entry))
+        self._record_change(ObjectChange(self.version, kind, name, entry))
         return entry
 
     def delete(self, kind: str, name: str, expected_version: int | None) -> Entry:
@@ -102,10 +105,10 @@
         if expected_version is not None and expected_version != entry.version:
             raise VersionConflict(f"{kind}/{name} is at version {entry.version}")
         self.version += 1
-        self._note(Change(self.version, kind, name, None))
+        self._record_change(ObjectChange(self.version, kind, name, None))
         return entry
 
-    def _note(self, change: Change) -> None:
+    def _record_change(self, change: ObjectChange) -> None:
         states = self._states.setdefault((change.kind, change.name), [])
         states.append((self._read_time_s(), change.entry))
         del states[:-N_STATES_KEPT]
@@ -121,14 +124,16 @@
             del self._changes[:n_dropped]
 
     def trim_history(self) -> None:
-        """Drop all changes that are kept for watches."""
+        """Remove all changes that are kept for watches."""
         self._trim(0)
 
-    def changes_after(self, kind: str, version: int) -> list[Change]:
+    def changes_after(self, kind: str, version: int) -> list[ObjectChange]:
         """Return the last change of each object of a kind after a version."""
         if version < self.trimmed_version:
-            raise HistoryTrimmed(f"changes start after {self.trimmed_version}")
-        latest: dict[str, Change] = {}
+            raise HistoryTrimmed(
+                f"changes up to version {self.trimmed_version} are no longer kept"
+            )
+        latest: dict[str, ObjectChange] = {}
         for change in self._changes:
             if change.kind == kind and change.version > version:
                 latest[change.name] = change
@@ -136,8 +141,11 @@
 
     async def wait_changes(
         self, kind: str, version: int, timeout_s: float
-    ) -> list[Change]:
-        """Wait until a kind has changes after a version, or for the timeout."""
+    ) -> list[ObjectChange]:
+        """Wait for changes of a kind after a version and return them.
+
+        The list is empty on timeout.
+        """
         loop = asyncio.get_running_loop()
         ends_at_s = loop.time() + timeout_s
         while True:
@@ -146,8 +154,8 @@
             if changes or remaining_s <= 0.0:
                 return changes
             try:
-                # wait_for would swallow a cancellation that comes together
-                # with a change.
+                # ``asyncio.wait_for`` of Python 3.11 can lose a cancellation
+                # that arrives together with a change.
                 async with asyncio.timeout(remaining_s):
                     await self._changed.wait()
             except TimeoutError:
--- a/chestnuthall/standins/objectapi/_server.py
+++ b/chestnuthall/standins/objectapi/_server.py
@@ -17,8 +17,8 @@
 from chestnuthall.standins.objectapi._objects import N_VALUE_BYTES_MAX, ObjectTable
 from chestnuthall.standins.objectapi._service import (
     Call,
+    ConnectionDrop,
     DeleteCall,
-    Drop,
     GetCall,
     ListCall,
     ObjectService,
@@ -27,16 +27,18 @@
 )
 
 _JSON = {b"content-type": b"application/json"}
-# Time for the response to ``PUT /faults`` to leave before connections close.
-REFUSE_AFTER_S = 0.02
+# Lets the response to ``PUT /faults`` be sent before connections are closed.
+LISTENER_CLOSE_DELAY_S = 0.02
 _LIMITS = ServerLimits(n_body_bytes_max=2 * N_VALUE_BYTES_MAX)
 
 
 def _respond(status: int, body: object) -> HttpResponse:
-    return HttpResponse(status, dict(_JSON), json.dumps(body, default=_text).encode())
+    return HttpResponse(
+        status, dict(_JSON), json.dumps(body, default=_encode_enum).encode()
+    )
 
 
-def _text(value: object) -> object:
+def _encode_enum(value: object) -> object:
     if isinstance(value, Enum):
         return value.value
     raise TypeError(f"not a JSON value: {type(value).__name__}")
@@ -53,7 +55,7 @@
 
     @property
     def table(self) -> ObjectTable:
-        """The objects that are served."""
+        """The table of the served objects."""
         return self.service.table
 
     async def start(self, host: str, port: int) -> int:
@@ -67,24 +69,24 @@
         """Stop listening and close all connections."""
         if self._outage_task is not None:
             self._outage_task.cancel()
-        await self._stop()
+        await self._close_server()
 
-    async def _stop(self) -> None:
+    async def _close_server(self) -> None:
         server, self._server = self._server, None
         if server is not None:
             await server.close()
 
     def set_faults(self, faults: StoreFaults) -> None:
-        """Replace the faults; refused connections close the listener."""
+        """Replace the faults; refusing connections closes the listener."""
         self.service.set_faults(faults)
         if self._outage_task is not None:
             self._outage_task.cancel()
-        self._outage_task = asyncio.get_running_loop().create_task(self._follow())
+        self._outage_task = asyncio.get_running_loop().create_task(self._apply_outage())
 
-    async def _follow(self) -> None:
+    async def _apply_outage(self) -> None:
         if self.service.outage is Outage.REFUSED:
-            await asyncio.sleep(REFUSE_AFTER_S)
-            await self._stop()
+            await asyncio.sleep(LISTENER_CLOSE_DELAY_S)
+            await self._close_server()
             if self.service.faults.outage_ms == 0.0:
                 return
             await asyncio.sleep(self.service.faults.outage_ms / 1000.0)
@@ -92,7 +94,7 @@
             await self.start(*self._address)
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Serve one request, with the faults that are set."""
+        """Serve one request, subject to the active faults."""
         if request.path == "/faults":
             return self._serve_faults(request)
         if request.path == "/calls":
@@ -102,9 +104,9 @@
             return _respond(200, {"trimmed_version": self.table.trimmed_version})
         call = _read_call(request)
         if call is None:
-            return _respond(400, {"error": "no such path, method or option"})
+            return _respond(400, {"error": "unknown path, method or option"})
         reply = await self.service.serve(call)
-        if isinstance(reply, Drop):
+        if isinstance(reply, ConnectionDrop):
             raise DropConnection(reply.value)
         return _respond(reply.status, reply.body)
 
@@ -119,13 +121,13 @@
 
 
 def _read_call(request: HttpRequest) -> Call | None:
-    parts = [unquote(part) for part in request.path.strip("/").split("/")]
-    if parts[:2] == ["v1", "objects"] and len(parts) == 4:
-        return _read_object_call(request, parts[2], parts[3])
-    if parts[:2] == ["v1", "objects"] and len(parts) == 3:
-        return ListCall(parts[2]) if request.method == "GET" else None
-    if parts[:2] == ["v1", "watch"] and len(parts) == 3:
-        return _read_watch(request, parts[2])
+    segments = [unquote(segment) for segment in request.path.strip("/").split("/")]
+    if segments[:2] == ["v1", "objects"] and len(segments) == 4:
+        return _read_object_call(request, segments[2], segments[3])
+    if segments[:2] == ["v1", "objects"] and len(segments) == 3:
+        return ListCall(segments[2]) if request.method == "GET" else None
+    if segments[:2] == ["v1", "watch"] and len(segments) == 3:
+        return _read_watch(request, segments[2])
     return None
 
 
--- a/chestnuthall/standins/objectapi/_service.py
+++ b/chestnuthall/standins/objectapi/_service.py
@@ -1,4 +1,4 @@
-"""The emulator's answers to calls, whatever they arrive over."""
+"""The emulator's behaviour, independent of the transport."""
 
 import asyncio
 from collections import deque
@@ -19,8 +19,8 @@
 )
 
 WATCH_TIMEOUT_MAX_MS = 60_000.0
-# Long enough that every client gives up on an answer that is withheld.
-WITHHELD_S = 3_600.0
+# Longer than the timeout of any client, so a withheld answer is never received.
+WITHHOLD_DURATION_S = 3_600.0
 INSTANCE_KIND = "instances"
 
 
@@ -72,35 +72,35 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A status with the body that is sent as JSON."""
+    """Status and body of an answer; the body is sent as JSON."""
 
     status: int
     body: dict[str, object]
 
 
-class Drop(Enum):
-    """The client gets no answer."""
+class ConnectionDrop(Enum):
+    """How a connection is closed without an answer."""
 
     REFUSED = "refused"
     CUT = "cut"
 
 
 class ObjectService:
-    """Serves an object table with the faults that are set."""
+    """Serves an object table, subject to the active faults."""
 
     def __init__(self) -> None:
         self.table = ObjectTable()
         self.faults = StoreFaults()
         self.n_calls: dict[str, int] = {}
         self._outage_ends_s = 0.0
-        self._n_hangs = 0
+        self._n_hanging_outages = 0
         self._served_s: deque[float] = deque()
         self._late_writes: set[asyncio.Task[None]] = set()
 
     def set_faults(self, faults: StoreFaults) -> None:
         """Replace the faults; an outage starts now."""
         self.faults = faults
-        self._n_hangs += faults.outage is Outage.HANGING
+        self._n_hanging_outages += faults.outage is Outage.HANGING
         now_s = asyncio.get_running_loop().time()
         self._outage_ends_s = now_s + faults.outage_ms / 1000.0
 
@@ -112,24 +112,24 @@
             return Outage.NONE
         return self.faults.outage
 
-    async def serve(self, call: Call) -> Reply | Drop:
-        """Serve one call, with the faults that are set."""
+    async def serve(self, call: Call) -> Reply | ConnectionDrop:
+        """Serve one call, subject to the active faults."""
         failed = await self._fail_in_outage()
         if failed is not None:
             return failed
-        self._count(call)
-        n_hangs = self._n_hangs
+        self._count_call(call)
+        n_hanging_outages = self._n_hanging_outages
         if self.faults.delay_ms:
             await asyncio.sleep(self.faults.delay_ms / 1000.0)
-        if self._is_over_rate():
-            return Reply(429, {"error": "too many calls"})
+        if self._exceeds_rate_limit():
+            return Reply(429, {"error": "more calls than the rate limit allows"})
         reply = await self._answer(call)
-        if self._n_hangs != n_hangs:
-            # A call that was under way when the store hung is never answered.
-            await asyncio.sleep(WITHHELD_S)
+        if self._n_hanging_outages != n_hanging_outages:
+            # A call in progress when a hanging outage starts is never answered.
+            await asyncio.sleep(WITHHOLD_DURATION_S)
         return await self._fail_in_outage() or reply
 
-    async def _answer(self, call: Call) -> Reply | Drop:
+    async def _answer(self, call: Call) -> Reply | ConnectionDrop:
         try:
             return await self._run(call)
         except VersionConflict as error:
@@ -141,22 +141,22 @@
         except ValueError as error:
             return Reply(400, {"error": str(error)})
 
-    async def _fail_in_outage(self) -> Reply | Drop | None:
+    async def _fail_in_outage(self) -> Reply | ConnectionDrop | None:
         outage = self.outage
         if outage is Outage.HANGING:
-            await asyncio.sleep(WITHHELD_S)
+            await asyncio.sleep(WITHHOLD_DURATION_S)
         if outage is Outage.REFUSED:
-            return Drop.REFUSED
+            return ConnectionDrop.REFUSED
         if outage is Outage.ERROR_503:
-            return Reply(503, {"error": "the store is down"})
+            return Reply(503, {"error": "the store is unavailable"})
         return None
 
-    def _count(self, call: Call) -> None:
+    def _count_call(self, call: Call) -> None:
         name = f"{type(call).__name__.removesuffix('Call').lower()} {call.kind}"
         self.n_calls[name] = self.n_calls.get(name, 0) + 1
 
-    def _is_over_rate(self) -> bool:
-        """Return whether a call exceeds the limit over the last second."""
+    def _exceeds_rate_limit(self) -> bool:
+        """Return whether a call exceeds the limit of calls in the last second."""
         n_max = self.faults.n_calls_per_s_max
         now_s = asyncio.get_running_loop().time()
         served = self._served_s
@@ -168,16 +168,16 @@
         return False
 
     @singledispatchmethod
-    async def _run(self, call: Call) -> Reply | Drop:
-        raise TypeError(f"not a call: {type(call).__name__}")
+    async def _run(self, call: Call) -> Reply | ConnectionDrop:
+        raise TypeError(f"unsupported call type: {type(call).__name__}")
 
     @_run.register
-    async def _(self, call: GetCall) -> Reply | Drop:
+    async def _(self, call: GetCall) -> Reply | ConnectionDrop:
         lag_s = self.faults.stale_read_ms / 1000.0
         return Reply(200, asdict(self.table.get(call.kind, call.name, lag_s)))
 
     @_run.register
-    async def _(self, call: ListCall) -> Reply | Drop:
+    async def _(self, call: ListCall) -> Reply | ConnectionDrop:
         lag_ms = self.faults.stale_read_ms
         if call.kind == INSTANCE_KIND:
             lag_ms = max(lag_ms, self.faults.list_lag_ms)
@@ -186,17 +186,17 @@
         return Reply(200, {"version": self.table.version, "objects": objects})
 
     @_run.register
-    async def _(self, call: PutCall) -> Reply | Drop:
+    async def _(self, call: PutCall) -> Reply | ConnectionDrop:
         if len(call.value.encode()) > N_VALUE_BYTES_MAX:
-            return Reply(413, {"error": "the value is larger than one megabyte"})
+            return Reply(413, {"error": "the value is larger than 1 MiB"})
         return await self._write(call)
 
     @_run.register
-    async def _(self, call: DeleteCall) -> Reply | Drop:
+    async def _(self, call: DeleteCall) -> Reply | ConnectionDrop:
         return await self._write(call)
 
     @_run.register
-    async def _(self, call: WatchCall) -> Reply | Drop:
+    async def _(self, call: WatchCall) -> Reply | ConnectionDrop:
         timeout_s = min(call.timeout_ms, WATCH_TIMEOUT_MAX_MS) / 1000.0
         changes = await self.table.wait_changes(call.kind, call.after, timeout_s)
         body = {
@@ -206,13 +206,13 @@
         }
         return Reply(200, body)
 
-    async def _write(self, call: PutCall | DeleteCall) -> Reply | Drop:
+    async def _write(self, call: PutCall | DeleteCall) -> Reply | ConnectionDrop:
         if self.faults.n_late_writes > 0:
             self.faults.n_late_writes -= 1
             task = asyncio.get_running_loop().create_task(self._apply_late(call))
             self._late_writes.add(task)
             task.add_done_callback(self._late_writes.discard)
-            await asyncio.sleep(WITHHELD_S)
+            await asyncio.sleep(WITHHOLD_DURATION_S)
         entry = self._apply(call)
         if self.faults.n_lost_write_answers > 0:
             self.faults.n_lost_write_answers -= 1
@@ -221,7 +221,7 @@
 
     async def _apply_late(self, call: PutCall | DeleteCall) -> None:
         await asyncio.sleep(self.faults.late_write_ms / 1000.0)
-        # Nobody is left to be told that the condition does not hold.
+        # The client gets no answer to a late write, so a conflict is not reported.
         with suppress(VersionConflict, UnknownObject):
             self._apply(call)
 
@@ -230,10 +230,10 @@
             return self.table.delete(call.kind, call.name, call.expected_version)
         return self.table.put(call.kind, call.name, call.value, call.expected_version)
 
-    async def _lose_answer(self) -> Reply | Drop:
+    async def _lose_answer(self) -> Reply | ConnectionDrop:
         if self.faults.lost_answer is LostAnswer.ERROR_500:
             return Reply(500, {"error": "internal error"})
         if self.faults.lost_answer is LostAnswer.CUT:
-            return Drop.CUT
-        await asyncio.sleep(WITHHELD_S)
-        return Drop.CUT
+            return ConnectionDrop.CUT
+        await asyncio.sleep(WITHHOLD_DURATION_S)
+        return ConnectionDrop.CUT
--- a/chestnuthall/standins/objectapi/tests/test_contract.py
+++ b/chestnuthall/standins/objectapi/tests/test_contract.py
@@ -1,6 +1,6 @@
-"""Guards against an in-memory store that differs from the HTTP adapter.
+"""Guards against an in-memory store that behaves unlike the HTTP adapter.
 
-Each case runs against both; faults are set in the emulator behind them.
+Each case runs against both; faults are set in the emulator that serves them.
 """
 
 import asyncio
@@ -63,7 +63,7 @@
 
 
 def summary(result):
-    """Return a short text for the result of one call."""
+    """Return a short text that describes the result of one call."""
     if result is None:
         return "done"
     if isinstance(result, Failure):
@@ -76,7 +76,7 @@
     return f"{result.name}@{result.version}={result.value[:20]}"
 
 
-LOST = StoreFaults(n_lost_write_answers=1)
+LOST_ANSWER = StoreFaults(n_lost_write_answers=1)
 FAULTS = {
     "none": StoreFaults(),
     "refused": StoreFaults(outage=Outage.REFUSED),
@@ -85,16 +85,17 @@
     "503": StoreFaults(outage=Outage.ERROR_503),
     "slow": StoreFaults(delay_ms=40.0),
     "too-slow": StoreFaults(delay_ms=450.0),
-    "withheld": LOST,
-    "cut": replace(LOST, lost_answer=LostAnswer.CUT),
-    "500": replace(LOST, lost_answer=LostAnswer.ERROR_500),
+    "withheld": LOST_ANSWER,
+    "cut": replace(LOST_ANSWER, lost_answer=LostAnswer.CUT),
+    "500": replace(LOST_ANSWER, lost_answer=LostAnswer.ERROR_500),
     "late": StoreFaults(n_late_writes=1, late_write_ms=700.0),
     "stale": StoreFaults(stale_read_ms=500.0),
     "lagging-list": StoreFaults(list_lag_ms=500.0),
     "rate": StoreFaults(n_calls_per_s_max=2),
 }
-# Steps, separated by semicolons: a verb with its arguments, and the result
-# where it matters; "fault" sets one of the above, "trim" drops the history.
+# Steps, separated by semicolons: a verb with its arguments, then " -> " and the
+# expected result if it is checked. "fault" sets one of FAULTS, and "trim" removes
+# the history of changes.
 CASES = {
     "create-once": "create a 1 -> a@1=1; create a 2 -> OBJECT_CONFLICT; get a -> a@1=1",
     "update": "create a 1; update 2 1 -> a@2=2; update 3 1 -> OBJECT_CONFLICT",
@@ -124,13 +125,14 @@
     " get a -> STORE_UNAVAILABLE",
     "answer-withheld": "fault withheld; create a 1 -> STORE_WRITE_UNKNOWN;"
     " get a -> a@1=1",
-    "answer-cut": "fault cut; create a 1 -> STORE_WRITE_UNKNOWN; get a -> a@1=1",
+    "closed-without-answer": "fault cut; create a 1 -> STORE_WRITE_UNKNOWN;"
+    " get a -> a@1=1",
     "answer-500": "fault 500; create a 1 -> STORE_WRITE_UNKNOWN; get a -> a@1=1",
     "lost-update": "create a 1; fault withheld; update 2 1 -> STORE_WRITE_UNKNOWN;"
     " update 2 1 -> OBJECT_CONFLICT; get a -> a@2=2",
-    "late-write-lands": "fault late; create a 1 -> STORE_WRITE_UNKNOWN;"
+    "late-write-is-applied": "fault late; create a 1 -> STORE_WRITE_UNKNOWN;"
     " get a -> OBJECT_NOT_FOUND; sleep 550; get a -> a@1=1",
-    "late-write-after-another": "fault late; create a 1 -> STORE_WRITE_UNKNOWN;"
+    "late-write-conflicts": "fault late; create a 1 -> STORE_WRITE_UNKNOWN;"
     " create a 2 -> a@1=2; sleep 550; get a -> a@1=2",
     "stale-read": "create a 1; sleep 600; update 2 1 -> a@2=2; fault stale;"
     " get a -> a@1=1; list things -> a@1; fault none; get a -> a@2=2",
@@ -141,8 +143,8 @@
 }
 
 
-async def take_step(text, store, set_faults, table):
-    """Carry out one step; return its result and what was expected."""
+async def run_step(text, store, set_faults, table):
+    """Run one step; return its result and the expected one if it is checked."""
     command, arrow, expected = text.partition(" -> ")
     verb, *arguments = command.split()
     if verb == "fault":
@@ -159,11 +161,11 @@
 @pytest.mark.parametrize("open_store", [memory_store, http_store])
 @pytest.mark.parametrize("text", CASES.values(), ids=CASES.keys())
 def test_store_contract(open_store, text):
-    """The port must mean the same in memory and over HTTP, faults included."""
+    """Both implementations of the port return the same results, also under faults."""
 
     async def scenario():
-        async with open_store() as parts:
-            return [await take_step(step, *parts) for step in text.split(";")]
+        async with open_store() as opened:
+            return [await run_step(step, *opened) for step in text.split(";")]
 
     pairs = [pair for pair in RUNNERS[open_store](scenario()) if pair is not None]
     assert pairs
@@ -176,7 +178,7 @@
     ids=["not-an-object", "unknown-outage", "valid"],
 )
 def test_faults_over_http(body, status):
-    """A test that misspells a fault must not run without it."""
+    """Invalid faults are rejected, so a test cannot run without its fault unnoticed."""
 
     async def scenario():
         server = ObjectApiServer()
--- a/chestnuthall/standins/peers/__init__.py
+++ b/chestnuthall/standins/peers/__init__.py
@@ -1,4 +1,4 @@
-"""An in-memory network between entry instances, with cuts, delays and pauses."""
+"""In-memory network between entry instances with message loss, delays and pauses."""
 
 from chestnuthall.standins.peers._hosts import Host, HostClock
 from chestnuthall.standins.peers._network import FakePeerTransport, PeerNetwork
--- a/chestnuthall/standins/peers/_hosts.py
+++ b/chestnuthall/standins/peers/_hosts.py
@@ -1,4 +1,4 @@
-"""A process of the in-memory network, which can be paused like by SIGSTOP."""
+"""Processes of the in-memory network, which can be paused as if by SIGSTOP."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 
 
 class Host:
-    """Whether a process runs; a paused one neither sends, receives nor ticks."""
+    """Run state of a process; while paused it does no I/O and runs no timers."""
 
     def __init__(self) -> None:
         self._running = asyncio.Event()
@@ -18,11 +18,11 @@
         return not self._running.is_set()
 
     def pause(self) -> None:
-        """Stop the process where it waits."""
+        """Pause the process at its next wait."""
         self._running.clear()
 
     def resume(self) -> None:
-        """Let the process go on; what it waited for has arrived meanwhile."""
+        """Resume the process; events that became due during the pause follow."""
         self._running.set()
 
     async def wait_running(self) -> None:
@@ -31,14 +31,14 @@
 
 
 class HostClock:
-    """A clock whose delays end only while the process of its host runs."""
+    """A clock whose delays end only while its host is not paused."""
 
     def __init__(self, clock: Clock, host: Host) -> None:
         self._clock = clock
         self._host = host
 
     def now_ms(self) -> float:
-        """Return the monotonic time, which goes on during a pause."""
+        """Return the monotonic time, which also advances during a pause."""
         return self._clock.now_ms()
 
     def wall_ms(self) -> float:
@@ -46,6 +46,6 @@
         return self._clock.wall_ms()
 
     async def sleep_ms(self, duration_ms: float) -> None:
-        """Wait for a duration, and then until the process runs."""
+        """Wait for a duration, then until the process is not paused."""
         await self._clock.sleep_ms(duration_ms)
         await self._host.wait_running()
--- a/chestnuthall/standins/peers/_network.py
+++ b/chestnuthall/standins/peers/_network.py
@@ -1,4 +1,4 @@
-"""Peer transport port in memory."""
+"""In-memory implementation of the peer transport port."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -23,9 +23,10 @@
 class PeerNetwork:
     """Connects the transports and services of a fleet by address.
 
-    ``delay_ms`` is drawn for each direction of each call, uniformly within
-    ``jitter_ratio`` of it. A cut loses messages silently, as a network does;
-    an address without a listener refuses at once.
+    The delay of each message is drawn uniformly from ``delay_ms`` plus or minus
+    ``jitter_ratio`` of it; a call takes one message in each direction. Calls
+    whose messages are dropped time out; a call to an address without a listener
+    is refused without waiting for the timeout.
     """
 
     def __init__(
@@ -36,15 +37,15 @@
         self._random = random
         self._jitter_ratio = jitter_ratio
         self._listeners: dict[str, _Listener] = {}
-        self._cuts: set[tuple[str, str]] = set()
+        self._dropped_links: set[tuple[str, str]] = set()
         self._extra_delays_ms: dict[str, float] = {}
 
     def listen(self, address: str, service: PeerService, host: Host) -> None:
-        """Hand calls to an address to a service."""
+        """Deliver calls to an address to a service."""
         self._listeners[address] = _Listener(service, host)
 
     def stop_listening(self, address: str) -> None:
-        """Refuse calls to an address from now on."""
+        """Refuse further calls to an address."""
         self._listeners.pop(address, None)
 
     def transport(self, address: str, host: Host) -> "FakePeerTransport":
@@ -52,39 +53,39 @@
         return FakePeerTransport(self, address, host)
 
     def cut(self, sources: list[str], targets: list[str]) -> None:
-        """Lose every message from a source to a target; one direction only."""
-        self._cuts.update((a, b) for a in sources for b in targets)
+        """Drop all messages from the sources to the targets, in this direction only."""
+        self._dropped_links.update((a, b) for a in sources for b in targets)
 
     def cut_both(self, one_side: list[str], other_side: list[str]) -> None:
-        """Lose every message between two sides."""
+        """Drop all messages between two sides."""
         self.cut(one_side, other_side)
         self.cut(other_side, one_side)
 
     def heal(self) -> None:
-        """Undo all cuts."""
-        self._cuts.clear()
+        """Deliver messages between all addresses again."""
+        self._dropped_links.clear()
 
     def set_delay(self, address: str, extra_ms: float) -> None:
-        """Delay every message to and from an address."""
+        """Add a delay to every message to or from an address."""
         self._extra_delays_ms[address] = extra_ms
 
     def listener(self, address: str) -> _Listener | None:
-        """Return who listens on an address, or None."""
+        """Return the listener on an address, or None."""
         return self._listeners.get(address)
 
-    async def carry(self, source: str, target: str) -> None:
-        """Take the time of one message, or for ever if it is lost."""
+    async def transmit(self, source: str, target: str) -> None:
+        """Wait for the delay of one message, or forever if it is dropped."""
         self.n_messages += 1
-        if (source, target) in self._cuts:
+        if (source, target) in self._dropped_links:
             await asyncio.Event().wait()
-        spread = self._random.uniform(-self._jitter_ratio, self._jitter_ratio)
+        jitter = self._random.uniform(-self._jitter_ratio, self._jitter_ratio)
         extra_ms = self._extra_delays_ms.get(source, 0.0)
         extra_ms += self._extra_delays_ms.get(target, 0.0)
-        await asyncio.sleep((self.delay_ms * (1.0 + spread) + extra_ms) / 1000.0)
+        await asyncio.sleep((self.delay_ms * (1.0 + jitter) + extra_ms) / 1000.0)
 
 
 class FakePeerTransport:
-    """The calls of one instance."""
+    """Peer transport of one instance."""
 
     def __init__(self, network: PeerNetwork, address: str, host: Host) -> None:
         self._network = network
@@ -102,7 +103,7 @@
     async def probe_for(
         self, address: str, target_address: str, timeout_ms: float
     ) -> bool | Failure:
-        """Ask a peer to probe another one; return whether that one answered."""
+        """Request an indirect probe from a peer; return whether the target answered."""
         return await self._call(
             address, timeout_ms, lambda service: service.probe_for(target_address)
         )
@@ -120,7 +121,7 @@
     async def query_shards(
         self, address: str, call: ShardSetCall, timeout_ms: float
     ) -> PartialAnswer | Failure:
-        """Ask a peer to answer for a set of shards."""
+        """Query a set of shards through a peer."""
         return await self._call(
             address, timeout_ms, lambda service: service.query_shards(call)
         )
@@ -143,12 +144,12 @@
     async def _deliver(
         self, address: str, serve: Callable[[PeerService], Awaitable[T | Failure]]
     ) -> T | Failure:
-        await self._network.carry(self._address, address)
+        await self._network.transmit(self._address, address)
         listener = self._network.listener(address)
         if listener is None:
-            return CONNECTION_LOST.with_reason("nobody listens on the address")
+            return CONNECTION_LOST.with_reason("no listener on the address")
         await listener.host.wait_running()
         answer = await serve(listener.service)
         await listener.host.wait_running()
-        await self._network.carry(address, self._address)
+        await self._network.transmit(address, self._address)
         return answer
--- a/chestnuthall/standins/upstream/_behaviour.py
+++ b/chestnuthall/standins/upstream/_behaviour.py
@@ -5,15 +5,15 @@
 
 @dataclass(slots=True)
 class UpstreamBehaviour:
-    """Set over HTTP by ``PUT /behaviour``.
+    """Settings and faults of one replica, set by ``PUT /behaviour``.
 
-    A ``slow_factor`` above 1 slows every call down. The ``n_*_answers`` count
-    down with each answer that is spoiled: crossed ones echo another call id,
-    truncated ones end within the body, duplicate ones are sent twice, lost
-    ones never arrive although the call has run, and short ones report that
-    only half of the documents were searched. A query that contains
-    ``crash_text`` ends the process. The health and load endpoints show the
-    state of ``health_lag_ms`` ago.
+    A ``slow_factor`` above 1 slows every call down. Each ``n_*_answers`` field
+    is the number of answers still to be altered and decreases with each of
+    them: crossed answers carry the id of another call, truncated ones end
+    within the body, duplicate ones are sent twice, lost ones are never sent
+    although the call has run, and short ones report only half of the documents
+    as searched. A query that contains ``crash_text`` ends the process. The
+    health and load endpoints report the state of ``health_lag_ms`` ago.
     """
 
     n_slots: int = 3
--- a/chestnuthall/standins/upstream/_index.py
+++ b/chestnuthall/standins/upstream/_index.py
@@ -5,14 +5,15 @@
 
 
 def make_record(group: str, snapshot_id: int, key: str) -> str:
-    """Return the record of a key, which names its snapshot.
+    """Return the record of a key, which contains the snapshot id.
 
-    Tests check answers against this text, so that a mixed snapshot shows.
+    Tests compare answers with this text to detect answers that combine hits of
+    different snapshots.
     """
     return f"{group}/{key}@{snapshot_id}"
 
 
-def score_of(query: str, key: str) -> float:
+def compute_score(query: str, key: str) -> float:
     """Return a score between 0 and 1 that depends on query and key only."""
     digest = blake2b(f"{query}\0{key}".encode(), digest_size=4).digest()
     return int.from_bytes(digest) / 2**32
@@ -20,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IndexSnapshot:
-    """The keys that a shard holds in one snapshot."""
+    """The keys of one shard in one snapshot."""
 
     group: str
     snapshot_id: int
@@ -30,7 +31,7 @@
     def search(self, query: str, n_hits_max: int) -> list[tuple[str, float, str]]:
         """Return the best hits, best first."""
         scored = sorted(
-            ((score_of(query, key), key) for key in self.keys),
+            ((compute_score(query, key), key) for key in self.keys),
             key=lambda item: (-item[0], item[1]),
         )
         return [
@@ -39,7 +40,7 @@
         ]
 
     def lookup(self, key: str) -> list[tuple[str, float, str]]:
-        """Return the record of a key as a hit, if the shard holds it."""
+        """Return the record of a key as a hit if the shard contains the key."""
         if key not in self.keys:
             return []
         return [(key, 1.0, make_record(self.group, self.snapshot_id, key))]
--- a/chestnuthall/standins/upstream/_reports.py
+++ b/chestnuthall/standins/upstream/_reports.py
@@ -2,28 +2,28 @@
 
 from collections import deque
 
-N_REPORTS_KEPT = 1000
+N_STATES_KEPT = 1000
 
 
 class LaggingReports:
-    """Remembers states and shows the one of some time ago.
+    """Records states and reports the one of some time ago.
 
-    A state is noted whenever a report is asked for, so a lag can be longer
-    than asked for, as on a real platform.
+    A state is recorded only when a report is requested, so the reported state
+    can be older than the configured lag, as on a real platform.
     """
 
     def __init__(self) -> None:
-        self._noted: deque[tuple[float, dict[str, int]]] = deque(maxlen=N_REPORTS_KEPT)
+        self._states: deque[tuple[float, dict[str, int]]] = deque(maxlen=N_STATES_KEPT)
 
-    def note(self, now_ms: float, state: dict[str, int]) -> None:
-        """Remember a state."""
-        self._noted.append((now_ms, state))
+    def record(self, now_ms: float, state: dict[str, int]) -> None:
+        """Record the state at a time."""
+        self._states.append((now_ms, state))
 
-    def shown(self, now_ms: float, lag_ms: float) -> dict[str, int]:
+    def lagging_state(self, now_ms: float, lag_ms: float) -> dict[str, int]:
         """Return the newest state that is at least ``lag_ms`` old, or the oldest."""
-        found = self._noted[0][1]
-        for noted_ms, state in self._noted:
-            if noted_ms > now_ms - lag_ms:
+        selected = self._states[0][1]
+        for recorded_ms, state in self._states:
+            if recorded_ms > now_ms - lag_ms:
                 break
-            found = state
-        return found
+            selected = state
+        return selected
--- a/chestnuthall/standins/upstream/_server.py
+++ b/chestnuthall/standins/upstream/_server.py
@@ -11,16 +11,21 @@
     HttpServer,
     ServerLimits,
 )
+from chestnuthall.standins.upstream._answer_faults import (
+    apply_answer_faults,
+    consume_fault,
+    filter_output,
+)
 from chestnuthall.standins.upstream._behaviour import UpstreamBehaviour
 from chestnuthall.standins.upstream._index import IndexSnapshot, make_record
 from chestnuthall.standins.upstream._reports import LaggingReports
-from chestnuthall.standins.upstream._spoiling import filter_output, spoil, take
 
-WITHHELD_S = 3_600.0
+# Longer than the deadline of any call, so the answer is never sent.
+LOST_ANSWER_DELAY_S = 3_600.0
 
 
 class UpstreamServer:
-    """One replica: slots with a queue in front, snapshots, drain and faults."""
+    """Emulates one replica: slots with a queue, snapshots, draining and faults."""
 
     def __init__(
         self,
@@ -57,7 +62,7 @@
         await self._server.close()
 
     def add_snapshot(self, snapshot: IndexSnapshot) -> None:
-        """Hold one more snapshot."""
+        """Serve one more snapshot."""
         self.snapshots[snapshot.snapshot_id] = snapshot
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
@@ -70,13 +75,13 @@
         if path == "/v1/partition-map":
             return HttpResponse(200, {}, self.partition_map_text.encode())
         if path in ("/v1/health", "/v1/load"):
-            return self._plain(200, self._report(path))
+            return self._respond_json(200, self._report(path))
         return self._serve_control(request)
 
     def _report(self, path: str) -> dict[str, int]:
         now_ms = asyncio.get_running_loop().time() * 1000.0
         behaviour = self.behaviour
-        self._reports.note(
+        self._reports.record(
             now_ms,
             {
                 "draining": int(behaviour.is_draining),
@@ -84,17 +89,17 @@
                 "queued": self._n_queued,
             },
         )
-        shown = self._reports.shown(now_ms, behaviour.health_lag_ms)
+        state = self._reports.lagging_state(now_ms, behaviour.health_lag_ms)
         if path == "/v1/health":
-            return {"draining": shown["draining"]}
-        return {"running": shown["running"], "queued": shown["queued"]}
+            return {"draining": state["draining"]}
+        return {"running": state["running"], "queued": state["queued"]}
 
     def _serve_control(self, request: HttpRequest) -> HttpResponse:
         if request.path == "/behaviour":
             if request.method == "PUT":
                 changes = json.loads(request.body)
                 self.behaviour = replace(self.behaviour, **changes)
-            return self._plain(200, asdict(self.behaviour))
+            return self._respond_json(200, asdict(self.behaviour))
         if request.path == "/snapshots" and request.method == "PUT":
             return self._set_snapshots(json.loads(request.body))
         if request.path == "/record":
@@ -105,8 +110,8 @@
                 "n_connections": self._server.n_connections,
                 "n_connections_peak": self._server.n_connections_peak,
             }
-            return self._plain(200, body)
-        return self._plain(404, {"error": "no such path"})
+            return self._respond_json(200, body)
+        return self._respond_json(404, {"error": "unknown path"})
 
     def _set_snapshots(self, body: dict[str, object]) -> HttpResponse:
         """Replace all snapshots, and the partition map if one is given."""
@@ -122,9 +127,9 @@
             for item in listed
         }
         self.partition_map_text = str(body.get("partition_map", ""))
-        return self._plain(200, {"snapshots": sorted(self.snapshots)})
+        return self._respond_json(200, {"snapshots": sorted(self.snapshots)})
 
-    def _plain(self, status: int, body: object) -> HttpResponse:
+    def _respond_json(self, status: int, body: object) -> HttpResponse:
         headers = {b"content-type": b"application/json"}
         return HttpResponse(status, headers, json.dumps(body).encode())
 
@@ -134,7 +139,7 @@
         if task is not None:
             self.n_cancelled += 1
             task.cancel()
-        return self._plain(200, {"cancelled": task is not None})
+        return self._respond_json(200, {"cancelled": task is not None})
 
     async def _serve_call(self, request: HttpRequest) -> HttpResponse:
         call_id = request.headers.get(b"x-call-id", b"").decode()
@@ -159,13 +164,13 @@
             self._running.pop(call_id, None)
 
     def _echo_headers(self, request: HttpRequest) -> dict[bytes, bytes]:
-        held = b" ".join(b"%d" % item for item in sorted(self.snapshots))
+        snapshot_ids = b" ".join(b"%d" % item for item in sorted(self.snapshots))
         headers = {
             b"content-type": b"application/json",
             b"x-call-id": request.headers.get(b"x-call-id", b""),
             b"x-shard-id": request.headers.get(b"x-shard-id", b""),
             b"x-snapshot-id": request.headers.get(b"x-snapshot-id", b""),
-            b"x-held-snapshots": held,
+            b"x-held-snapshots": snapshot_ids,
         }
         if self.behaviour.is_draining:
             headers[b"x-draining"] = b"1"
@@ -218,10 +223,10 @@
             "hits": _hits_of(request.path, snapshot, body),
             "n_documents_searched": len(snapshot.keys),
         }
-        if take(self.behaviour, "n_lost_answers"):
-            await asyncio.sleep(WITHHELD_S)
+        if consume_fault(self.behaviour, "n_lost_answers"):
+            await asyncio.sleep(LOST_ANSWER_DELAY_S)
         response = HttpResponse(200, headers, json.dumps(result).encode())
-        return spoil(self.behaviour, response)
+        return apply_answer_faults(self.behaviour, response)
 
     def _service_ms(self) -> float:
         behaviour = self.behaviour
--- a/chestnuthall/standins/virtual_time/tests/test_loop.py
+++ b/chestnuthall/standins/virtual_time/tests/test_loop.py
@@ -1,4 +1,4 @@
-"""Guards against a virtual loop that waits, or that reorders timers."""
+"""Guards against a virtual-time loop that reorders timers or hangs in a deadlock."""
 
 import asyncio
 
@@ -15,22 +15,22 @@
     ],
 )
 def test_timers_run_in_order(delays_s, order):
-    async def note_each():
-        seen = []
+    async def record_order():
+        finished = []
 
         async def wait(index, delay_s):
             await asyncio.sleep(delay_s)
-            seen.append(index)
+            finished.append(index)
 
         await asyncio.gather(*(wait(i, d) for i, d in enumerate(delays_s)))
-        return seen
+        return finished
 
-    assert run_virtual(note_each()) == order
+    assert run_virtual(record_order()) == order
 
 
 def test_deadlock_is_reported():
-    async def wait_for_nothing():
+    async def wait_forever():
         await asyncio.get_running_loop().create_future()
 
     with pytest.raises(RuntimeError, match="every task waits"):
-        run_virtual(wait_for_nothing())
+        run_virtual(wait_forever())
