--- a/examples/demo.py
+++ b/examples/demo.py
@@ -1,4 +1,4 @@
-"""Runs the whole path on loopback: search, lookup, hold, and two losses."""
+"""Demonstrates a local fleet: search, lookup, mutation, and the loss of processes."""
 
 import asyncio
 import signal
@@ -32,7 +32,7 @@
     }
 
 
-def _show(title: str, reply: Reply) -> None:
+def _print_reply(title: str, reply: Reply) -> None:
     body = reply.body
     print(f"\n{title}: HTTP {reply.status}, {body.get('result')}")
     for hit in body.get("hits", [])[:3]:
@@ -52,7 +52,7 @@
         )
 
 
-def _show_account(title: str, account: dict[str, Any]) -> None:
+def _print_account(title: str, account: dict[str, Any]) -> None:
     admission = account["admission"]
     fan_out = account["fan_out"]
     print(
@@ -67,15 +67,15 @@
 
 async def _show_requests(fleet: LocalFleet) -> None:
     client = fleet.instances[0].client
-    _show("search", await client.send("POST", "/v1/search", _search(1)))
+    _print_reply("search", await client.send("POST", "/v1/search", _search(1)))
     lookup = {
         "request_id": "demo-lookup-1",
         "class": "crew",
         "group": "planner-desk",
         "key": "a00000",
     }
-    _show("lookup", await client.send("POST", "/v1/lookup", lookup))
-    hold = {
+    _print_reply("lookup", await client.send("POST", "/v1/lookup", lookup))
+    mutation = {
         "request_id": "demo-hold-1",
         "class": "planner",
         "group": "booking-ledger",
@@ -84,21 +84,24 @@
         "idempotency_key": "demo-hold-key-1",
         "issued_at_ms": time.time() * 1000.0,
     }
-    _show("hold", await client.send("POST", "/v1/mutate", hold))
+    _print_reply("mutation", await client.send("POST", "/v1/mutate", mutation))
     other = fleet.instances[1].client
-    _show("the same hold again", await other.send("POST", "/v1/mutate", hold))
+    _print_reply(
+        "the same mutation through another instance",
+        await other.send("POST", "/v1/mutate", mutation),
+    )
 
 
-async def _show_order(fleet: LocalFleet) -> None:
-    print("\ntwo classes compete on one instance:")
+async def _show_admission_order(fleet: LocalFleet) -> None:
+    print("\ntwo classes compete for one instance:")
     client = fleet.instances[0].client
     requests = [_search(100 + n, "batch") for n in range(40)]
     requests += [_search(200 + n, "planner") for n in range(4)]
     replies = await asyncio.gather(
         *(client.send("POST", "/v1/search", body) for body in requests)
     )
-    _show_account("last batch search", replies[39].body["account"])
-    _show_account("last planner search", replies[43].body["account"])
+    _print_account("last batch search", replies[39].body["account"])
+    _print_account("last planner search", replies[43].body["account"])
 
 
 async def _search_while_killing(fleet: LocalFleet) -> int:
@@ -107,7 +110,7 @@
     killed_replica = next(
         item for item in fleet.replicas if item.replica.name == "planner-desk-00-0"
     )
-    n_whole = 0
+    n_complete = 0
     n_all = 120
     for number in range(n_all):
         if number == 30:
@@ -118,21 +121,21 @@
             print(f"  killed instance {fleet.instances[0].name}")
         client = survivors[number % len(survivors)].client
         reply = await client.send("POST", "/v1/search", _search(1000 + number))
-        is_whole = reply.status == 200 and reply.body["coverage"]["ratio"] == 1.0
-        n_whole += is_whole
-        if not is_whole:
-            _show(f"search {number} was not whole", reply)
-    print(f"  {n_whole} of {n_all} searches came back whole")
-    return n_all - n_whole
+        is_complete = reply.status == 200 and reply.body["coverage"]["ratio"] == 1.0
+        n_complete += is_complete
+        if not is_complete:
+            _print_reply(f"search {number} was incomplete", reply)
+    print(f"  {n_complete} of {n_all} searches were answered completely")
+    return n_all - n_complete
 
 
 async def _run() -> int:
     print("starting the object API, 10 upstream replicas and 3 entry instances")
     async with LocalFleet(_plan()) as fleet:
         await _show_requests(fleet)
-        await _show_order(fleet)
+        await _show_admission_order(fleet)
         n_incomplete = await _search_while_killing(fleet)
-    print("\nall processes have ended")
+    print("\nall processes have stopped")
     return 1 if n_incomplete else 0
 
 
