--- a/benchmarks/fleet/__init__.py
+++ b/benchmarks/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of how the instances act together; each module prints JSON."""
+"""Benchmarks of the coordination between instances; each module prints JSON."""
--- a/benchmarks/fleet/exchange.py
+++ b/benchmarks/fleet/exchange.py
@@ -1,7 +1,7 @@
-"""Processor time and bytes of one exchange over gRPC, by size of the digest.
+"""Processor time and bytes of one exchange over gRPC, by digest size.
 
-Run as ``python -m benchmarks.fleet.exchange``. Client and server share the
-process, so the processor time is that of both sides together.
+Run as ``python -m benchmarks.fleet.exchange``. Client and server share one process, so
+the processor time covers both sides.
 """
 
 import asyncio
@@ -18,8 +18,8 @@
 N_EXCHANGES = 400
 N_COLD_EXCHANGES = 60
 SIZES = (1, 6, 14, 50, 200)
-# The own news, four updates and one in turn: what a message has when news is
-# always waiting.
+# Records in a message while updates are always pending: the sender's own record, four
+# updates and one record in rotation.
 N_MEMBERS_FULL = 6
 N_INSTANCES = 1_900
 
@@ -47,7 +47,7 @@
 
 
 class EchoPeer:
-    """Answers each digest with one of the same size."""
+    """Answers each digest with a prepared one of the same size."""
 
     def __init__(self, digest: PeerDigest) -> None:
         self.digest = digest
@@ -57,8 +57,8 @@
         return self.digest
 
 
-class CountingRelay:
-    """Passes bytes between a client and a server, and counts them."""
+class ByteCountingProxy:
+    """Forwards bytes between a client and a server, and counts them."""
 
     def __init__(self, target_port: int) -> None:
         self.n_bytes = 0
@@ -66,7 +66,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> int:
-        """Listen; return the port."""
+        """Start to listen on a free port and return it."""
         self._server = await asyncio.start_server(self._serve, HOST, 0)
         return int(self._server.sockets[0].getsockname()[1])
 
@@ -132,27 +132,27 @@
 
 
 async def _count_bytes(port: int, digest: PeerDigest) -> tuple[float, float]:
-    relay = CountingRelay(port)
-    relay_port = await relay.start()
+    proxy = ByteCountingProxy(port)
+    proxy_port = await proxy.start()
     transport = GrpcPeerTransport()
     for _ in range(20):
-        await _exchange(transport, relay_port, digest)
-    before = relay.n_bytes
+        await _exchange(transport, proxy_port, digest)
+    before = proxy.n_bytes
     for _ in range(N_EXCHANGES):
-        await _exchange(transport, relay_port, digest)
-    warm = (relay.n_bytes - before) / N_EXCHANGES
+        await _exchange(transport, proxy_port, digest)
+    warm = (proxy.n_bytes - before) / N_EXCHANGES
     await transport.close()
     await asyncio.sleep(0.2)
-    before = relay.n_bytes
-    await _run_cold(relay_port, digest, N_COLD_EXCHANGES)
+    before = proxy.n_bytes
+    await _run_cold(proxy_port, digest, N_COLD_EXCHANGES)
     await asyncio.sleep(0.2)
-    cold = (relay.n_bytes - before) / N_COLD_EXCHANGES
-    await relay.close()
+    cold = (proxy.n_bytes - before) / N_COLD_EXCHANGES
+    await proxy.close()
     return warm, cold
 
 
 async def measure(n_members: int) -> ExchangeCost:
-    """Measure one size of digest."""
+    """Measure the cost of an exchange with digests of ``n_members`` records."""
     digest = make_digest(n_members)
     server = GrpcPeerServer(EchoPeer(digest))  # type: ignore[arg-type]
     port = await server.start(f"{HOST}:0")
@@ -163,11 +163,11 @@
     return ExchangeCost(n_members, cpu_us_warm, cpu_us_cold, warm, cold)
 
 
-def _at_target_size(cost: ExchangeCost) -> dict[str, float]:
-    """Return the control traffic of one of 1,900 instances.
+def _estimate_at_design_size(cost: ExchangeCost) -> dict[str, float]:
+    """Return the control traffic of one instance in a fleet of 1,900.
 
-    An instance takes part in two exchanges an interval, one as the prober and
-    one as the target, and almost each one opens a channel.
+    An instance takes part in two exchanges per interval, one as prober and one as
+    target, and almost every exchange opens a new channel.
     """
     interval_s = MembershipSettings().interval_ms(N_INSTANCES) / 1000.0
     return {
@@ -179,12 +179,14 @@
 
 
 async def main() -> None:
-    """Measure all sizes and print them."""
+    """Measure all digest sizes and print the results as JSON."""
     costs = [await measure(n_members) for n_members in SIZES]
-    full = next(cost for cost in costs if cost.n_members == N_MEMBERS_FULL)
+    loaded = next(cost for cost in costs if cost.n_members == N_MEMBERS_FULL)
     fields = ExchangeCost.__slots__
     rows = [{name: round(getattr(cost, name), 1) for name in fields} for cost in costs]
-    estimate = {key: round(value, 5) for key, value in _at_target_size(full).items()}
+    estimate = {
+        key: round(value, 5) for key, value in _estimate_at_design_size(loaded).items()
+    }
     print(json.dumps({"exchange": rows, "at_1900_instances": estimate}, indent=1))
 
 
--- a/benchmarks/fleet/memory.py
+++ b/benchmarks/fleet/memory.py
@@ -1,4 +1,4 @@
-"""Memory of the membership of one instance, by size of the fleet.
+"""Memory of the membership state of one instance, by fleet size.
 
 Run as ``python -m benchmarks.fleet.memory``.
 """
@@ -19,7 +19,7 @@
 SIZES = (9, 100, 400, 1_900)
 
 
-def _record(index: int) -> MemberRecord:
+def _make_record(index: int) -> MemberRecord:
     return MemberRecord(
         f"entry-{index + 1000}",
         f"10.20.{index // 256}.{index % 256}:7001",
@@ -30,11 +30,11 @@
 
 
 def measure(n_instances: int) -> int:
-    """Return the bytes that one machine holds for a fleet."""
+    """Return the memory of one membership machine for a fleet, in bytes."""
     tracemalloc.start()
-    machine = MembershipMachine(_record(0), MembershipSettings(), Random(1))
+    machine = MembershipMachine(_make_record(0), MembershipSettings(), Random(1))
     for index in range(1, n_instances):
-        machine.handle(DigestReceived(0.0, _record(index), ()))
+        machine.handle(DigestReceived(0.0, _make_record(index), ()))
     for step in range(20):
         machine.handle(Tick(step * 100.0))
         machine.select_updates()
@@ -44,7 +44,7 @@
 
 
 def main() -> None:
-    """Measure all sizes and print the slope."""
+    """Measure all fleet sizes and print the bytes per size and per member."""
     n_bytes = {size: measure(size) for size in SIZES}
     slope = (n_bytes[SIZES[-1]] - n_bytes[SIZES[0]]) / (SIZES[-1] - SIZES[0])
     body = {"n_bytes_by_size": n_bytes, "n_bytes_per_member": round(slope)}
--- a/benchmarks/fleet/spread.py
+++ b/benchmarks/fleet/spread.py
@@ -1,7 +1,7 @@
-"""Time until a drain notice is at every instance, by size of the fleet.
+"""Time until a drain notice has reached every instance, by fleet size.
 
-Run as ``python -m benchmarks.fleet.spread [SIZE ...]``. The fleet runs in
-virtual time with one-way delays of 0.5 ms, varied by half.
+Run as ``python -m benchmarks.fleet.spread [SIZE ...]``. The fleet runs in virtual time
+with one-way delays of 0.5 ms that vary by half.
 """
 
 import asyncio
@@ -18,10 +18,10 @@
 from chestnuthall.services import Directory, DrainExchange
 from chestnuthall.standins.virtual_time import run_virtual
 
-# 1,900 can be given on the command line; it took 101 s for one seed.
+# A size of 1,900 takes 101 s per seed, so it is run only on request.
 SIZES = (9, 100, 400)
 SEEDS = (1, 2, 3)
-STEP_S = 0.005
+POLL_INTERVAL_S = 0.005
 
 
 def _add_drains(instance: VirtualInstance, clock, listed) -> None:  # type: ignore[no-untyped-def]
@@ -38,10 +38,10 @@
 
 
 def _make_fleet(n_instances: int, seed: int) -> VirtualFleet:
-    # The instances of one process share the parsed entries of the list.
+    # The instances share this process, so each list entry is parsed only once.
     virtual_fleet.read_entry = lru_cache(None)(virtual_fleet.read_entry)
-    # The fleet has just started and counts few instances live, but has to probe
-    # at the interval of its full size.
+    # Just after its start the fleet knows few live instances; the setting makes it
+    # probe at the interval of its full size anyway.
     interval_ms = MembershipSettings().interval_ms(n_instances)
     settings = MembershipSettings(
         probe_interval_ms=interval_ms, n_instances_at_base_interval=1_000_000
@@ -54,7 +54,7 @@
     return fleet
 
 
-async def _run(n_instances: int, seed: int) -> dict[str, float]:
+async def _measure_dissemination(n_instances: int, seed: int) -> dict[str, float]:
     fleet = _make_fleet(n_instances, seed)
     await asyncio.sleep(2.0)
     origin = fleet.instances["entry-0"].parts["drains"]
@@ -63,14 +63,14 @@
     loop = asyncio.get_running_loop()
     started_s = loop.time()
     waiting = list(fleet.instances.values())
-    n_after_first_s = n_instances
+    n_waiting_after_200_ms = n_instances
     while waiting:
-        await asyncio.sleep(STEP_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
         waiting = [
             item for item in waiting if not item.parts["drains"].active_notices()
         ]
         if loop.time() - started_s < 0.2:
-            n_after_first_s = len(waiting)
+            n_waiting_after_200_ms = len(waiting)
         if loop.time() - started_s > 10.0:
             break
     elapsed_s = loop.time() - started_s
@@ -78,19 +78,19 @@
     return {
         "seconds": round(elapsed_s, 3),
         "n_not_reached": len(waiting),
-        "n_not_reached_after_200_ms": n_after_first_s,
+        "n_not_reached_after_200_ms": n_waiting_after_200_ms,
         "n_messages_per_instance": round(n_messages / n_instances, 2),
     }
 
 
 def main() -> None:
-    """Measure the sizes of the command line, or all."""
+    """Measure the fleet sizes given on the command line, or the default ones."""
     sizes = tuple(int(item) for item in sys.argv[1:]) or SIZES
     rows = []
     for size in sizes:
         for seed in SEEDS:
             started_s = time.monotonic()
-            row = run_virtual(_run(size, seed))
+            row = run_virtual(_measure_dissemination(size, seed))
             real_s = round(time.monotonic() - started_s, 1)
             rows.append({"n_instances": size, "seed": seed, **row, "real_s": real_s})
     print(json.dumps({"spread": rows}, indent=1))
