--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,4 @@
-"""Measurements in virtual time, at the sizes of the two deployments."""
+"""Benchmarks of the query tier, most of them in virtual time.
+
+The deployments that they model are in ``_deployments``.
+"""
--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the measurements: ``python -m benchmarks --json``."""
+"""Run the benchmark scenarios: ``python -m benchmarks --json``."""
 
 import json
 import time
@@ -8,7 +8,7 @@
 
 from benchmarks._deployments import DEPLOYMENTS
 from benchmarks._peak import run_peaks
-from benchmarks._scenarios import Figures, run_calm
+from benchmarks._scenarios import Figures, run_steady_load
 from benchmarks._stragglers import run_stragglers
 
 
@@ -22,7 +22,7 @@
     results: dict[str, dict[str, Figures]] = {}
     for deployment in DEPLOYMENTS:
         results[deployment.name] = {
-            "calm_50": run_calm(deployment, seed, 0.5, 10_000.0),
+            "calm_50": run_steady_load(deployment, seed, 0.5, 10_000.0),
             **run_stragglers(deployment, seed),
         }
         results[deployment.name].update(run_peaks(deployment, seed))
--- a/benchmarks/_baseline.py
+++ b/benchmarks/_baseline.py
@@ -1,8 +1,8 @@
-"""The client that the policies are compared with.
+"""Baseline query service that the policies are compared with.
 
-Every request is sent at once, first in first out; each shard call goes to a
-random replica and is tried once more, at random, after a fixed timeout or a
-failure. There is no hedging.
+It has no admission control: requests are sent on arrival, first in first out. Each
+shard call goes to a random replica; after a failure or a fixed timeout it is retried
+once, again at a random replica. There is no hedging.
 """
 
 import asyncio
@@ -30,7 +30,7 @@
 
 
 class BaselineQuery:
-    """Serves requests as ``QueryService`` does, without any policy."""
+    """Replacement for ``QueryService`` without any policy."""
 
     def __init__(self, fleet: VirtualFleet, caller: ShardCaller, instance: str) -> None:
         self._fleet = fleet
@@ -39,19 +39,19 @@
         self._random = Random(f"{fleet.seed}/baseline/{instance}")
 
     async def serve(self, request: Request) -> Answer:
-        """Call every shard and merge what answers."""
-        partition_map = self._fleet.upstreams.published[request.group]
+        """Call every target shard and merge the answers received."""
+        partition_map = self._fleet.upstreams.published_maps[request.group]
         shards = target_shards(request, partition_map)
         answers = await asyncio.gather(
             *(self._call(request, partition_map, shard) for shard in shards)
         )
-        merged = {item.shard_id: item for item in answers if item is not None}
-        coverage = coverage_of(shards, merged)
+        answers_by_shard = {item.shard_id: item for item in answers if item is not None}
+        coverage = coverage_of(shards, answers_by_shard)
         code = ResultCode.OK if coverage.is_full else ResultCode.OK_PARTIAL
         return Answer(
             request_id=request.request_id,
             result_code=code,
-            hits=merge_hits(merged.values(), None),
+            hits=merge_hits(answers_by_shard.values(), None),
             coverage=coverage,
             snapshot_id=partition_map.snapshot_id,
             configuration_revision=1,
@@ -100,10 +100,10 @@
 
 
 def use_baseline(fleet: VirtualFleet) -> None:
-    """Replace the query service of every instance by the baseline."""
+    """Replace the query service of every instance with the baseline."""
     for instance in fleet.instances:
-        _replace(fleet, instance)
+        _replace_query_service(fleet, instance)
 
 
-def _replace(fleet: VirtualFleet, instance: VirtualInstance) -> None:
+def _replace_query_service(fleet: VirtualFleet, instance: VirtualInstance) -> None:
     instance.query = BaselineQuery(fleet, instance.caller, instance.name)
--- a/benchmarks/_deployments.py
+++ b/benchmarks/_deployments.py
@@ -1,4 +1,4 @@
-"""Sizes of the two deployments, and the documents they are measured with."""
+"""Sizes of the two modelled deployments, their documents and partition maps."""
 
 from dataclasses import dataclass
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupSize:
-    """Shape of one upstream group and its connections."""
+    """Size of one upstream group, and the limit and cost of its connections."""
 
     name: str
     n_shards: int
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """One user's system; delays are one way, in milliseconds."""
+    """Modelled deployment of one user; delays are one-way."""
 
     name: str
     zones: tuple[str, ...]
@@ -40,7 +40,7 @@
     n_instances: int = 9
 
     def group(self, name: str) -> GroupSize:
-        """Return the group of that name."""
+        """Return the group with the given name."""
         return next(group for group in self.groups if group.name == name)
 
 
@@ -73,10 +73,10 @@
 DEPLOYMENTS = (DERWENT, HUNDEMARKE)
 
 
-def partition_map_of(
+def make_partition_map(
     deployment: Deployment, size: GroupSize, snapshot_id: int = 1
 ) -> PartitionMap:
-    """Return the map of a group, with its replicas spread over the zones."""
+    """Return the partition map of a group, with replicas distributed over the zones."""
     zones = deployment.zones
     shards = []
     for index in range(size.n_shards):
@@ -101,8 +101,8 @@
     return PartitionMap(size.name, snapshot_id, tuple(shards))
 
 
-def document_of(deployment: Deployment) -> EnvironmentDocument:
-    """Return the document that a deployment is measured with."""
+def make_document(deployment: Deployment) -> EnvironmentDocument:
+    """Return the environment document of a deployment."""
     classes = (
         CallerClass(
             name="urgent",
--- a/benchmarks/_fakes.py
+++ b/benchmarks/_fakes.py
@@ -1,4 +1,4 @@
-"""In-memory ports of the virtual fleet, besides upstreams."""
+"""In-memory object store and peer transport of the virtual fleet."""
 
 import asyncio
 from collections.abc import Callable
@@ -19,7 +19,7 @@
 
 
 class FixedStore:
-    """Object store that only lists the instances; it takes no writes."""
+    """Object store that lists the instances and discards all writes."""
 
     def __init__(self, clock: Clock, listed: Callable[[], tuple[str, ...]]) -> None:
         self._clock = clock
@@ -28,13 +28,13 @@
     async def get(
         self, kind: str, name: str, timeout_ms: float
     ) -> StoredObject | Failure:
-        """Find nothing."""
+        """Report that the object does not exist."""
         return OBJECT_NOT_FOUND.with_reason(f"{kind}/{name}")
 
     async def list_kind(
         self, kind: str, timeout_ms: float
     ) -> tuple[StoredObject, ...] | Failure:
-        """List the instances."""
+        """Return the listed instances, and nothing for other kinds."""
         await self._clock.sleep_ms(2.0)
         if kind != "instances":
             return ()
@@ -43,31 +43,31 @@
     async def create(
         self, kind: str, name: str, value: str, timeout_ms: float
     ) -> StoredObject | Failure:
-        """Accept and forget a write."""
+        """Accept a write and discard it."""
         return StoredObject(kind, name, 1, value)
 
     async def update(
         self, kind: str, name: str, value: str, version: int, timeout_ms: float
     ) -> StoredObject | Failure:
-        """Accept and forget a write."""
+        """Accept a write and discard it."""
         return StoredObject(kind, name, version + 1, value)
 
     async def delete(
         self, kind: str, name: str, version: int, timeout_ms: float
     ) -> Failure | None:
-        """Accept and forget a deletion."""
+        """Accept a deletion and discard it."""
         return None
 
     async def watch(
         self, kind: str, after_version: int, timeout_ms: float
     ) -> WatchBatch | Failure:
-        """Wait for the timeout; nothing changes."""
+        """Return an empty batch once the timeout has passed."""
         await self._clock.sleep_ms(timeout_ms)
         return WatchBatch(after_version, ())
 
 
 class DirectPeers:
-    """Peer transport that calls the other instances' services directly."""
+    """Peer transport that calls the services of other instances directly."""
 
     def __init__(
         self,
@@ -84,11 +84,11 @@
     async def exchange(
         self, address: str, digest: PeerDigest, timeout_ms: float
     ) -> PeerDigest | Failure:
-        """Probe a peer and exchange digests."""
+        """Exchange digests with a peer; an unavailable one costs the whole timeout."""
         await self._clock.sleep_ms(self._delay_ms)
         if address not in self._alive:
             await self._clock.sleep_ms(timeout_ms - self._delay_ms)
-            return CONNECTION_LOST.with_reason("no answer")
+            return CONNECTION_LOST.with_reason("the peer did not answer")
         answer = await self._services[address].receive(digest)
         await self._clock.sleep_ms(self._delay_ms)
         return answer
@@ -96,24 +96,24 @@
     async def probe_for(
         self, address: str, target_address: str, timeout_ms: float
     ) -> bool | Failure:
-        """Ask a peer to probe another one; return whether that one answered."""
+        """Request an indirect probe from a peer; return whether the target answered."""
         await self._clock.sleep_ms(self._delay_ms)
         if address not in self._alive:
-            return CONNECTION_LOST.with_reason("no answer")
+            return CONNECTION_LOST.with_reason("the peer did not answer")
         return await self._services[address].probe_for(target_address)
 
     async def fetch_configuration(
         self, address: str, timeout_ms: float
     ) -> PeerConfiguration | Failure:
         """Return the configuration that a peer has in force."""
-        found = self._services[address].configuration()
-        if found is None:
-            return CONNECTION_LOST.with_reason("no configuration")
-        return found
+        configuration = self._services[address].configuration()
+        if configuration is None:
+            return CONNECTION_LOST.with_reason("the peer has no configuration in force")
+        return configuration
 
 
 async def cancel_all(tasks: list["asyncio.Task[None]"]) -> None:
-    """Cancel background tasks and wait for their end."""
+    """Cancel tasks and wait until they have ended."""
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
--- a/benchmarks/_fleet.py
+++ b/benchmarks/_fleet.py
@@ -1,10 +1,10 @@
-"""A fleet of real services over the fakes, in virtual time."""
+"""Fleet of real services over in-memory ports, in virtual time."""
 
 import asyncio
 import logging
 from random import Random
 
-from benchmarks._deployments import Deployment, document_of, partition_map_of
+from benchmarks._deployments import Deployment, make_document, make_partition_map
 from benchmarks._fakes import DirectPeers, FixedStore, cancel_all
 from benchmarks._upstreams import ModelCaller, UpstreamModel
 from chestnuthall.adapters.clock import LoopClock
@@ -28,15 +28,15 @@
     QueryService,
 )
 
-# Information logs of a virtual fleet would hide its report.
+# Log lines of the services would bury the printed results.
 logging.getLogger("chestnuthall").setLevel(logging.CRITICAL)
 
-# Time for the instances to find each other before any load is sent.
-SETTLE_MS = 4_000.0
+# Time for the instances to discover each other before any load is sent.
+DISCOVERY_MS = 4_000.0
 
 
 class VirtualInstance:
-    """One entry instance: the services of the daemon over fake ports."""
+    """One entry instance: the services of the daemon over in-memory ports."""
 
     def __init__(self, fleet: "VirtualFleet", index: int) -> None:
         deployment = fleet.deployment
@@ -54,13 +54,17 @@
             "trial",
             store,
             clock,
-            lambda text: CONFIGURATION_REJECTED.with_reason("the fake store has none"),
+            lambda text: CONFIGURATION_REJECTED.with_reason(
+                "not available from the in-memory store"
+            ),
         )
         self.directory = Directory(
             store,
             self.caller,
             clock,
-            lambda text: INVALID_REQUEST.with_reason("the fake store has none"),
+            lambda text: INVALID_REQUEST.with_reason(
+                "not available from the in-memory store"
+            ),
             self.zone,
             random,
             fleet.router_settings,
@@ -69,7 +73,7 @@
         self.fleet_usage = FleetUsageExchange(
             self.name, clock, admissions, lambda: self.membership.members()
         )
-        self.instances = InstanceList(store, clock, _read_entry)
+        self.instances = InstanceList(store, clock, _make_entry)
         self.membership = Membership(
             identity,
             peers,
@@ -95,11 +99,11 @@
         fleet.peer_services[self.name] = self.membership
 
     def put_in_force(self, configuration: Configuration) -> None:
-        """Apply a configuration and divide the connections."""
+        """Put a configuration in force at this instance."""
         self.configuration.offer(configuration, "benchmark")
 
-    def divide_connections(self, n_instances: int) -> None:
-        """Set the connection budgets as the daemon does."""
+    def set_connection_budgets(self, n_instances: int) -> None:
+        """Divide the connections of each group among instances, as the daemon does."""
         in_force = self.configuration.in_force
         assert in_force is not None
         for group in in_force.document.groups:
@@ -107,15 +111,15 @@
             self.caller.set_connection_budget(group.name, budget)
 
 
-def _read_entry(text: str) -> InstanceListEntry:
+def _make_entry(text: str) -> InstanceListEntry:
     return InstanceListEntry(text, InstanceRole.ENTRY, "", text, text, False)
 
 
 class VirtualFleet:
-    """All instances of a deployment over one model of its upstreams.
+    """All instances of a deployment over one simulation of its upstreams.
 
-    Create it inside a virtual-time loop; ``start`` begins the exchange between
-    instances and ``stop`` ends it.
+    Create it inside a virtual-time loop. ``start`` starts the background tasks of
+    the instances, such as their exchange of digests, and ``stop`` cancels them.
     """
 
     def __init__(
@@ -132,16 +136,16 @@
         self.upstreams = UpstreamModel(deployment, seed)
         self.peer_services: dict[str, PeerService] = {}
         self.alive: set[str] = set()
-        self.document = document or document_of(deployment)
+        self.document = document or make_document(deployment)
         for size in deployment.groups:
-            self.upstreams.publish(partition_map_of(deployment, size))
+            self.upstreams.publish(make_partition_map(deployment, size))
         self.instances = [
             VirtualInstance(self, index) for index in range(deployment.n_instances)
         ]
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Put the document in force everywhere and start the exchange."""
+        """Put the document in force at every instance and start their tasks."""
         configuration = Configuration(
             environment="trial",
             revision=1,
@@ -152,16 +156,16 @@
         loop = asyncio.get_running_loop()
         for instance in self.instances:
             self.alive.add(instance.name)
-            for partition_map in self.upstreams.published.values():
+            for partition_map in self.upstreams.published_maps.values():
                 instance.directory.add_map(partition_map)
             instance.put_in_force(configuration)
-            instance.divide_connections(len(self.instances))
+            instance.set_connection_budgets(len(self.instances))
         for instance in self.instances:
             self._tasks.append(loop.create_task(instance.instances.run()))
             self._tasks.append(loop.create_task(instance.membership.run()))
             self._tasks.append(loop.create_task(instance.fleet_usage.run()))
-        await self.clock.sleep_ms(SETTLE_MS)
+        await self.clock.sleep_ms(DISCOVERY_MS)
 
     async def stop(self) -> None:
-        """End the background work."""
+        """Cancel the background tasks."""
         await cancel_all(self._tasks)
--- a/benchmarks/_load.py
+++ b/benchmarks/_load.py
@@ -1,4 +1,4 @@
-"""Open-loop load in virtual time, and what became of it."""
+"""Open-loop load generator in virtual time, with one sample per request."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -17,9 +17,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Stream:
-    """Poisson arrivals of one class and kind at one group.
+    """Poisson arrivals of one caller class and request kind, for one group.
 
-    ``rate_per_s`` maps the time since the start, in milliseconds, to a rate.
+    ``rate_per_s`` maps the time since the start, in milliseconds, to the
+    arrival rate.
     """
 
     class_name: str
@@ -31,9 +32,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """What became of one request; times in milliseconds of the run.
+    """Outcome of one request.
 
-    ``latency_ms`` includes the way to the caller and back.
+    ``arrived_ms`` counts from the start of the run. ``latency_ms`` includes the
+    network delay between caller and instance, in both directions.
     """
 
     class_name: str
@@ -46,12 +48,15 @@
     coverage_ratio: float
     is_answer: bool
     n_calls: int
-    n_extra: int
+    n_extra_calls: int
     account: Account
 
 
 class LoadGenerator:
-    """Sends the arrivals of several streams to the instances of a fleet."""
+    """Sends the arrivals of several streams to the instances of a fleet.
+
+    ``weights`` sets the relative frequency with which each instance is chosen.
+    """
 
     def __init__(
         self, fleet: VirtualFleet, seed: int, weights: Sequence[float] | None = None
@@ -64,7 +69,7 @@
         self.samples: list[Sample] = []
 
     async def run(self, streams: Sequence[Stream], duration_ms: float) -> list[Sample]:
-        """Send all arrivals and wait for the last outcome."""
+        """Send all arrivals, wait for every outcome and return the samples."""
         start_ms = self._fleet.clock.now_ms()
         await asyncio.gather(
             *(self._send(stream, start_ms, duration_ms) for stream in streams)
@@ -119,7 +124,7 @@
                 coverage_ratio=outcome.coverage.ratio if is_answer else 0.0,
                 is_answer=is_answer,
                 n_calls=account.fan_out.n_calls,
-                n_extra=account.fan_out.n_hedges + account.fan_out.n_retries,
+                n_extra_calls=account.fan_out.n_hedges + account.fan_out.n_retries,
                 account=account,
             )
         )
@@ -139,7 +144,7 @@
 
 
 def quantile_ms(latencies_ms: Sequence[float], quantile: float) -> float:
-    """Return a quantile of latencies; 0 without any."""
+    """Return a quantile of the latencies, or 0 if there are none."""
     ordered = sorted(latencies_ms)
     if not ordered:
         return 0.0
--- a/benchmarks/_memory.py
+++ b/benchmarks/_memory.py
@@ -1,4 +1,4 @@
-"""Memory per item of an instance's state."""
+"""Memory per item of the state of an instance."""
 
 import asyncio
 import gc
@@ -22,14 +22,14 @@
 Figures = dict[str, float]
 
 
-def _bytes_per_item(make: Callable[[int], object], n_items: int) -> float:
-    """Return the traced bytes that each item of a list adds."""
-    kept: list[object] = []
+def _bytes_per_item(make_item: Callable[[int], object], n_items: int) -> float:
+    """Return the mean number of traced bytes allocated per item."""
+    items: list[object] = []
     gc.collect()
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
     for index in range(n_items):
-        kept.append(make(index))
+        items.append(make_item(index))
     after, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return (after - before) / n_items
@@ -49,18 +49,18 @@
 def _replica_state_bytes(n_items: int) -> float:
     router = Router(RouterSettings(), Random(1))
 
-    def make(index: int) -> object:
+    def make_item(index: int) -> object:
         replica = Replica(f"replica-{index}", f"10.0.0.1:{index}", "zone-a")
         router.on_started(replica, 0.0)
         answer = ShardAnswer("q.1", "s", 2, (), 10, held_snapshots=(1, 2))
         router.on_answered(replica, 0.0, answer, 5.0)
         return None
 
-    return _bytes_per_item(make, n_items)
+    return _bytes_per_item(make_item, n_items)
 
 
 def _map_bytes_per_replica(n_items: int) -> float:
-    def make(index: int) -> object:
+    def make_item(index: int) -> object:
         return Shard(
             f"s{index}",
             KeyRange(f"{index}", f"{index + 1}"),
@@ -71,51 +71,51 @@
             ),
         )
 
-    return _bytes_per_item(make, n_items) / 3
+    return _bytes_per_item(make_item, n_items) / 3
 
 
 def _queued_query_bytes(n_items: int) -> float:
     queue = AdmissionQueue((_caller_class("c"),), 1.0)
     queue.handle(Arrive(0.0, "first", "c", "search", 1.0, 1e9))
 
-    def make(index: int) -> object:
+    def make_item(index: int) -> object:
         return queue.handle(Arrive(0.0, f"t{index}", "c", "search", 10.0, 1e9 + index))
 
-    return _bytes_per_item(make, n_items)
+    return _bytes_per_item(make_item, n_items)
 
 
 def _class_bytes(n_items: int) -> float:
     queues: list[AdmissionQueue] = []
 
-    def make(index: int) -> object:
+    def make_item(index: int) -> object:
         queues.append(AdmissionQueue((_caller_class(f"c{index}"),), 1.0))
         return None
 
-    return _bytes_per_item(make, n_items)
+    return _bytes_per_item(make_item, n_items)
 
 
 def _suspicion_bytes(n_items: int) -> float:
     registry = QuarantineRegistry(QuarantineSettings(n_fingerprints_max=10**6))
 
-    def make(index: int) -> object:
+    def make_item(index: int) -> object:
         registry.merge(f"{index:016x}", (f"replica-{index}",), 1e9, 0.0)
         return None
 
-    return _bytes_per_item(make, n_items)
+    return _bytes_per_item(make_item, n_items)
 
 
 def _claim_entry_bytes(n_items: int) -> float:
     entries: dict[str, ClaimEntry] = {}
 
-    def make(index: int) -> object:
+    def make_item(index: int) -> object:
         entries[f"key-{index:012d}"] = ClaimEntry(f"{index:016x}", float(index))
         return None
 
-    return _bytes_per_item(make, n_items)
+    return _bytes_per_item(make_item, n_items)
 
 
 async def _connection_bytes(n_items: int) -> tuple[float, float]:
-    """Return bytes of a client connection and of a server connection."""
+    """Return the bytes per client connection and per server connection."""
 
     async def handle(request: HttpRequest) -> HttpResponse:
         return HttpResponse(200)
@@ -138,15 +138,15 @@
     for connection in connections:
         connection.close()
     await server.close()
-    both = (after - before) / n_items
-    return both / 2, both / 2
+    pair_bytes = (after - before) / n_items
+    return pair_bytes / 2, pair_bytes / 2
 
 
 def measure_memory() -> Figures:
-    """Return bytes per item, by the kind of item.
+    """Return the bytes per item for each kind of item.
 
-    Client and server connections are alike and share one process here, so
-    each is half of what a pair takes; kernel buffers are not counted.
+    Client and server connections have similar state and share one process here, so
+    each counts as half of a pair. Kernel buffers are not included.
     """
     client, server = asyncio.run(_connection_bytes(200))
     return {
--- a/benchmarks/_processor_time.py
+++ b/benchmarks/_processor_time.py
@@ -1,4 +1,4 @@
-"""Processor time per shard call over real sockets, beside a bare h11 exchange."""
+"""Processor time per shard call over real sockets, compared with bare h11."""
 
 import asyncio
 import json
@@ -49,8 +49,8 @@
 """
 
 
-class _BareExchange(asyncio.Protocol):
-    """The least that an h11 client does for one exchange after another."""
+class _BareClient(asyncio.Protocol):
+    """Minimal h11 client that performs one exchange at a time."""
 
     def __init__(self) -> None:
         self._h11 = h11.Connection(h11.CLIENT)
@@ -59,12 +59,12 @@
         self._body = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Note the transport; called by the event loop."""
+        """Store the transport; called by the event loop."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Feed bytes to h11; called by the event loop."""
+        """Pass received bytes to h11; called by the event loop."""
         self._h11.receive_data(data)
         while True:
             event = self._h11.next_event()
@@ -104,7 +104,7 @@
         self._transport.close()
 
 
-def _search(number: int, now_ms: float) -> SearchRequest:
+def _make_request(number: int, now_ms: float) -> SearchRequest:
     return SearchRequest(
         request_id=f"q{number}",
         class_name="planner",
@@ -118,20 +118,23 @@
 
 
 async def _bare_us_per_exchange(partition_map: PartitionMap, n_queries: int) -> float:
-    """Exchange with all shards at once, as a query does, without a service."""
+    """Return the processor time of one exchange without the query service, in us.
+
+    As in a query, all shards are called concurrently.
+    """
     clock = LoopClock()
     loop = asyncio.get_running_loop()
-    links = []
+    connections = []
     for shard in partition_map.shards:
         host, _, port = shard.replicas[0].address.rpartition(":")
-        _, link = await loop.create_connection(_BareExchange, host, int(port))
-        links.append((shard, link))
+        _, connection = await loop.create_connection(_BareClient, host, int(port))
+        connections.append((shard, connection))
 
     async def query(number: int) -> None:
-        request = _search(number, clock.now_ms())
+        request = _make_request(number, clock.now_ms())
         await asyncio.gather(
             *(
-                link.exchange(
+                connection.exchange(
                     encode_call(
                         ShardCall(
                             f"q{number}",
@@ -144,7 +147,7 @@
                         60_000.0,
                     )
                 )
-                for shard, link in links
+                for shard, connection in connections
             )
         )
 
@@ -152,10 +155,10 @@
     started_s = time.process_time()
     for number in range(n_queries):
         await query(number)
-    used_s = time.process_time() - started_s
-    for _, link in links:
-        link.close()
-    return used_s * 1e6 / (n_queries * len(links))
+    cpu_s = time.process_time() - started_s
+    for _, connection in connections:
+        connection.close()
+    return cpu_s * 1e6 / (n_queries * len(connections))
 
 
 def _make_query_service(
@@ -204,34 +207,34 @@
     service, caller = _make_query_service(partition_map, document)
     clock = LoopClock()
     for number in range(10):
-        outcome = await service.serve(_search(number, clock.now_ms()))
+        outcome = await service.serve(_make_request(number, clock.now_ms()))
         if not isinstance(outcome, Answer):
-            raise RuntimeError(f"the warm-up failed: {outcome.failure.reason}")
+            raise RuntimeError(f"warm-up query failed: {outcome.failure.reason}")
     started_s = time.process_time()
     for number in range(n_queries):
-        encode_outcome(await service.serve(_search(number, clock.now_ms())))
-    used_s = time.process_time() - started_s
+        encode_outcome(await service.serve(_make_request(number, clock.now_ms())))
+    cpu_s = time.process_time() - started_s
     caller.close()
-    return used_s * 1e6 / n_queries
+    return cpu_s * 1e6 / n_queries
 
 
 def _slope_and_intercept(points: list[tuple[float, float]]) -> tuple[float, float]:
     n = len(points)
     mean_x = sum(x for x, _ in points) / n
     mean_y = sum(y for _, y in points) / n
-    above = sum((x - mean_x) * (y - mean_y) for x, y in points)
-    below = sum((x - mean_x) ** 2 for x, _ in points)
-    slope = above / below
+    numerator = sum((x - mean_x) * (y - mean_y) for x, y in points)
+    denominator = sum((x - mean_x) ** 2 for x, _ in points)
+    slope = numerator / denominator
     return slope, mean_y - slope * mean_x
 
 
-async def _least_of_rounds(
+async def _minimum_over_rounds(
     partition_map: PartitionMap, document: EnvironmentDocument, n_queries: int
 ) -> tuple[float, float]:
-    """Return the least of several interleaved rounds.
+    """Return the minimum of several interleaved rounds.
 
-    Other work on the machine only ever adds time, so the least round is the
-    nearest to the cost of the code.
+    Other work on the machine only ever adds time, so the minimum is the best
+    estimate of the cost of the code.
     """
     n_queries_per_round = max(1, n_queries // N_ROUNDS)
     bare_us = []
@@ -264,10 +267,12 @@
     figures: Figures = {}
     points = []
     async with LocalFleet(plan) as fleet:
-        whole = fleet.maps["g"]
+        full_map = fleet.maps["g"]
         for fan_out in FAN_OUTS:
-            part = replace(whole, shards=whole.shards[:fan_out])
-            bare_us, query_us = await _least_of_rounds(part, document, n_queries)
+            partial_map = replace(full_map, shards=full_map.shards[:fan_out])
+            bare_us, query_us = await _minimum_over_rounds(
+                partial_map, document, n_queries
+            )
             figures[f"bare_us_per_exchange_{fan_out}"] = bare_us
             figures[f"service_us_per_call_{fan_out}"] = query_us / fan_out
             figures[f"ratio_{fan_out}"] = query_us / fan_out / bare_us
@@ -279,9 +284,9 @@
 
 
 def measure_processor_time(n_queries: int = 800) -> Figures:
-    """Return processor time per exchange, per call and per query, in microseconds.
+    """Return the processor time per exchange, call and query, in microseconds.
 
-    Only this process's time counts; the upstream stand-ins are processes of
-    their own. The answers have ten hits for each shard.
+    Only the time of this process counts; the upstream stand-ins run in separate
+    processes. Each shard answer has ten hits.
     """
     return asyncio.run(_measure(n_queries))
--- a/benchmarks/_stragglers.py
+++ b/benchmarks/_stragglers.py
@@ -1,4 +1,7 @@
-"""Slowed and killed replicas: tail latency, extra load and coverage."""
+"""Scenarios with slow, killed and restarted replicas.
+
+They report tail latency, extra load and coverage.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -17,25 +20,25 @@
 from chestnuthall.standins.virtual_time import run_virtual
 
 SLOW_FACTOR = 10.0
-SLOWED_PART = 0.1
+SLOWED_FRACTION = 0.1
 COLD_FACTOR = 10.0
 COLD_MS = 1_000.0
-STRETCH_MS = (2_000.0, 5_000.0)
-CLASS_PARTS = (("urgent", 0.3), ("ordinary", 0.4), ("bulk", 0.3))
+SLOW_PERIOD_RANGE_MS = (2_000.0, 5_000.0)
+CLASS_FRACTIONS = (("urgent", 0.3), ("ordinary", 0.4), ("bulk", 0.3))
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Run:
-    """One run: its load, what happens to the replicas, and the policies."""
+class RunOptions:
+    """Load, replica faults and routing settings of one scenario."""
 
     load_ratio: float = 0.5
     duration_ms: float = 8_000.0
-    # Latencies of the first while are left out, in the baseline too: the
-    # instances start without connections and without any latency learnt.
+    # Latencies of requests that arrive during the warm-up are left out, in the
+    # baseline too: instances start without connections and latency estimates.
     warm_up_ms: float = 2_000.0
     slowed: bool = False
-    # Two of a shard's three replicas slowed at once leave it less capacity than
-    # half of the load needs, which no choice of replicas can make up for.
+    # With two of a shard's three replicas slowed at once, the shard has too little
+    # capacity for a load ratio of 0.5, whichever replicas the router chooses.
     one_per_shard: bool = True
     killed: bool = False
     restarted: bool = False
@@ -44,8 +47,8 @@
 
 
 @dataclass(slots=True)
-class CoverageCheck:
-    """Compares the coverage that answers report with the hits they have."""
+class CoverageChecker:
+    """Compares the coverage that answers report with the hits they contain."""
 
     n_documents: int
     floors: dict[str, float]
@@ -55,7 +58,7 @@
     n_misreported: int = 0
 
     def check(self, request: Request, outcome: Outcome) -> None:
-        """Note one outcome; the model's replicas return one hit a shard."""
+        """Check one outcome; each simulated shard answer has exactly one hit."""
         if not isinstance(outcome, Answer):
             return
         n_covered = len(outcome.hits) * N_DOCUMENTS_PER_SHARD
@@ -69,23 +72,23 @@
 async def slow_down(
     replicas: list[ReplicaModel], random: Random, one_per_shard: bool
 ) -> None:
-    """Keep one replica slowed, another one after each stretch."""
+    """Keep one replica slow at a time, switching to another after each period."""
     while True:
-        slowed = {_shard_of(item) for item in replicas if item.slow_factor > 1.0}
+        slowed = {_shard_name(item) for item in replicas if item.slow_factor > 1.0}
         replica = random.choice(
             [
                 item
                 for item in replicas
                 if item.slow_factor == 1.0
-                and not (one_per_shard and _shard_of(item) in slowed)
+                and not (one_per_shard and _shard_name(item) in slowed)
             ]
         )
         replica.slow_factor = SLOW_FACTOR
-        await asyncio.sleep(random.uniform(*STRETCH_MS) / 1000.0)
+        await asyncio.sleep(random.uniform(*SLOW_PERIOD_RANGE_MS) / 1000.0)
         replica.slow_factor = 1.0
 
 
-def _shard_of(replica: ReplicaModel) -> str:
+def _shard_name(replica: ReplicaModel) -> str:
     return replica.name.rpartition("-")[0]
 
 
@@ -93,21 +96,21 @@
     fleet: VirtualFleet, group: str, random: Random, duration_ms: float
 ) -> None:
     """Kill replicas one after another until each shard has one left."""
-    doomed = []
-    for shard in fleet.upstreams.published[group].shards:
+    victims = []
+    for shard in fleet.upstreams.published_maps[group].shards:
         names = [replica.name for replica in shard.replicas]
-        doomed += random.sample(names, len(names) - 1)
-    random.shuffle(doomed)
-    for name in doomed:
-        await asyncio.sleep(0.8 * duration_ms / len(doomed) / 1000.0)
+        victims += random.sample(names, len(names) - 1)
+    random.shuffle(victims)
+    for name in victims:
+        await asyncio.sleep(0.8 * duration_ms / len(victims) / 1000.0)
         fleet.upstreams.replicas[name].is_alive = False
 
 
 async def restart(replicas: list[ReplicaModel], random: Random) -> None:
-    """Kill one replica after another; each returns cold after a second.
+    """Restart random replicas one at a time; each is back after 1 s and starts cold.
 
-    Half of them refuse connections while they are away; the others do not
-    answer at all, as after the loss of a rack.
+    Half of them refuse connections while they are unavailable; the others are
+    unresponsive, as after the loss of a rack.
     """
     while True:
         replica = random.choice(replicas)
@@ -120,18 +123,20 @@
         replica.slow_factor = 1.0
 
 
-async def count_until(fleet: VirtualFleet, warm_up_ms: float) -> tuple[int, int]:
-    """Return the calls written and repeated by the end of the warm-up."""
+async def count_warm_up_calls(
+    fleet: VirtualFleet, warm_up_ms: float
+) -> tuple[int, int]:
+    """Return the numbers of calls sent and repeated by the end of the warm-up."""
     await asyncio.sleep(warm_up_ms / 1000.0)
-    return fleet.upstreams.n_written, fleet.upstreams.n_repeated
+    return fleet.upstreams.n_sent, fleet.upstreams.n_repeated
 
 
-def observe(fleet: VirtualFleet, check: CoverageCheck) -> None:
-    """Check every outcome of the fleet."""
+def check_outcomes(fleet: VirtualFleet, check: CoverageChecker) -> None:
+    """Wrap the query service of each instance to check every outcome."""
     for instance in fleet.instances:
         serve = instance.query.serve
 
-        async def checked(
+        async def serve_and_check(
             request: Request,
             serve: Callable[[Request], "asyncio.Future[Outcome]"] = serve,
         ) -> Outcome:
@@ -139,25 +144,25 @@
             check.check(request, outcome)
             return outcome
 
-        instance.query.serve = checked
+        instance.query.serve = serve_and_check
 
 
-async def _play(deployment: Deployment, seed: int, run: Run) -> Figures:
+async def _run_scenario(deployment: Deployment, seed: int, run: RunOptions) -> Figures:
     fleet = VirtualFleet(deployment, seed, router_settings=run.settings)
     await fleet.start()
     if run.is_baseline:
         use_baseline(fleet)
     group = deployment.groups[0]
     floors = {item.name: item.coverage_floor_ratio for item in fleet.document.classes}
-    check = CoverageCheck(group.n_shards * N_DOCUMENTS_PER_SHARD, floors)
-    observe(fleet, check)
+    check = CoverageChecker(group.n_shards * N_DOCUMENTS_PER_SHARD, floors)
+    check_outcomes(fleet, check)
     random = Random(f"{seed}/trouble")
     replicas = [
         item for item in fleet.upstreams.replicas.values() if item.size is group
     ]
     tasks = []
     if run.slowed:
-        for _ in range(round(SLOWED_PART * len(replicas))):
+        for _ in range(round(SLOWED_FRACTION * len(replicas))):
             tasks.append(
                 asyncio.ensure_future(slow_down(replicas, random, run.one_per_shard))
             )
@@ -171,11 +176,13 @@
         Stream(
             class_name=name,
             group=group.name,
-            rate_per_s=lambda elapsed_ms, part=part: rate_per_s * part,
+            rate_per_s=lambda elapsed_ms, class_fraction=class_fraction: (
+                rate_per_s * class_fraction
+            ),
         )
-        for name, part in CLASS_PARTS
+        for name, class_fraction in CLASS_FRACTIONS
     ]
-    warmed = asyncio.ensure_future(count_until(fleet, run.warm_up_ms))
+    warm_up_counts = asyncio.ensure_future(count_warm_up_calls(fleet, run.warm_up_ms))
     samples = await LoadGenerator(fleet, seed).run(streams, run.duration_ms)
     for task in tasks:
         task.cancel()
@@ -186,71 +193,80 @@
         if item.is_answer and item.arrived_ms >= run.warm_up_ms
     ]
     upstreams = fleet.upstreams
-    n_written, n_repeated = await warmed
-    n_late = max(1, upstreams.n_written - n_written)
+    n_warm_up_sent, n_warm_up_repeated = await warm_up_counts
+    n_sent_after_warm_up = max(1, upstreams.n_sent - n_warm_up_sent)
     return {
         "n_requests": len(samples),
         "answered_ratio": check.n_answers / len(samples),
         "p50_ms": quantile_ms(latencies_ms, 0.5),
         "p99_ms": quantile_ms(latencies_ms, 0.99),
-        "extra_load_ratio": upstreams.n_repeated / max(1, upstreams.n_written),
-        "warm_extra_ratio": (upstreams.n_repeated - n_repeated) / n_late,
+        "extra_load_ratio": upstreams.n_repeated / max(1, upstreams.n_sent),
+        "warm_extra_ratio": (upstreams.n_repeated - n_warm_up_repeated)
+        / n_sent_after_warm_up,
         "full_coverage_ratio": check.n_full / max(1, check.n_answers),
         "n_below_floor": check.n_below_floor,
         "n_misreported": check.n_misreported,
     }
 
 
-def play(deployment: Deployment, seed: int, run: Run) -> Figures:
-    """Play one run in virtual time."""
-    return run_virtual(_play(deployment, seed, run))
+def run_scenario(deployment: Deployment, seed: int, run: RunOptions) -> Figures:
+    """Run one scenario in virtual time."""
+    return run_virtual(_run_scenario(deployment, seed, run))
 
 
 def run_unslowed(deployment: Deployment, seed: int) -> Figures:
-    """Run at half of the capacity, with every replica at its normal speed."""
-    return play(deployment, seed, Run())
+    """Run at half of the capacity, with every replica at normal speed."""
+    return run_scenario(deployment, seed, RunOptions())
 
 
 def run_slowed(deployment: Deployment, seed: int) -> Figures:
-    """Run with a tenth of the replicas slowed for stretches of seconds."""
-    return play(deployment, seed, Run(slowed=True))
+    """Run with a tenth of the replicas slow at any time, for seconds each."""
+    return run_scenario(deployment, seed, RunOptions(slowed=True))
 
 
 def run_light_unslowed(deployment: Deployment, seed: int) -> Figures:
-    """Run at three tenths of the capacity."""
-    return play(deployment, seed, Run(load_ratio=0.3, duration_ms=6_000.0))
+    """Run at 0.3 of the capacity."""
+    return run_scenario(
+        deployment, seed, RunOptions(load_ratio=0.3, duration_ms=6_000.0)
+    )
 
 
 def run_light_slowed(deployment: Deployment, seed: int) -> Figures:
-    """Run at three tenths of the capacity, with slowed replicas."""
-    return play(deployment, seed, Run(load_ratio=0.3, slowed=True, duration_ms=6_000.0))
+    """Run at 0.3 of the capacity, with slow replicas."""
+    return run_scenario(
+        deployment, seed, RunOptions(load_ratio=0.3, slowed=True, duration_ms=6_000.0)
+    )
 
 
 def run_slowed_baseline(deployment: Deployment, seed: int) -> Figures:
-    """Run the baseline with the same slowed replicas."""
-    return play(deployment, seed, Run(slowed=True, is_baseline=True))
+    """Run the baseline with the same slow replicas."""
+    return run_scenario(deployment, seed, RunOptions(slowed=True, is_baseline=True))
 
 
 def run_killed(deployment: Deployment, seed: int) -> Figures:
-    """Kill replicas until every shard has one left, at a load that one carries."""
-    return play(deployment, seed, Run(load_ratio=0.15, killed=True))
+    """Kill all but one replica per shard, at a load that one replica can serve."""
+    return run_scenario(deployment, seed, RunOptions(load_ratio=0.15, killed=True))
 
 
 def run_killed_baseline(deployment: Deployment, seed: int) -> Figures:
     """Run the baseline with the same killed replicas."""
-    return play(deployment, seed, Run(load_ratio=0.15, killed=True, is_baseline=True))
+    return run_scenario(
+        deployment, seed, RunOptions(load_ratio=0.15, killed=True, is_baseline=True)
+    )
 
 
 def run_saturated(deployment: Deployment, seed: int) -> Figures:
-    """Offer more than the capacity, with slowed replicas."""
-    return play(
+    """Offer more load than the capacity, with slow replicas."""
+    return run_scenario(
         deployment,
         seed,
-        Run(load_ratio=1.3, slowed=True, duration_ms=3_000.0, warm_up_ms=1_000.0),
+        RunOptions(
+            load_ratio=1.3, slowed=True, duration_ms=3_000.0, warm_up_ms=1_000.0
+        ),
     )
 
 
-RUNS: dict[str, Callable[[Deployment, int], Figures]] = {
+SCENARIOS: dict[str, Callable[[Deployment, int], Figures]] = {
     "unslowed": run_unslowed,
     "slowed": run_slowed,
     "slowed_baseline": run_slowed_baseline,
@@ -263,5 +279,5 @@
 
 
 def run_stragglers(deployment: Deployment, seed: int) -> dict[str, Figures]:
-    """Play every run of this module."""
-    return {name: run(deployment, seed) for name, run in RUNS.items()}
+    """Run every scenario of this module."""
+    return {name: run(deployment, seed) for name, run in SCENARIOS.items()}
--- a/benchmarks/_switches.py
+++ b/benchmarks/_switches.py
@@ -1,4 +1,4 @@
-"""The usual tier for comparison, and each policy of the real one switched off."""
+"""Ablations: the comparison baseline, and the tier without one of its policies."""
 
 from collections.abc import Callable, Iterator
 from contextlib import ExitStack, contextmanager
@@ -6,7 +6,7 @@
 from random import Random
 from unittest.mock import patch
 
-from benchmarks._deployments import Deployment, document_of
+from benchmarks._deployments import Deployment, make_document
 from chestnuthall.core.admission import AdaptiveLimit, AdmissionAction, AdmissionQueue
 from chestnuthall.core.admission._capacity import Capacity
 from chestnuthall.core.admission._limit import RATIO_MAX
@@ -23,14 +23,14 @@
 
 
 class FifoQueue(AdmissionQueue):
-    """First in first out over all classes, without early refusal.
+    """First-in-first-out queue over all classes, without early refusal.
 
-    It has the same limit as the real queue at its best, so that only the
-    policies differ.
+    It has the largest limit that the adaptive limit of the real queue reaches, so
+    that only the policies differ.
     """
 
     def expected_wait_ms(self, ticket: Ticket) -> float:
-        """Expect no wait, so that nothing is refused early."""
+        """Return 0, so that no request is refused early."""
         return 0.0
 
     def _is_too_late(self, ticket: Ticket, now_ms: float) -> bool:
@@ -56,27 +56,27 @@
     return random.choice(shard.replicas)
 
 
-def _skip(*args: object, **kwargs: object) -> None:
-    """Do nothing in place of a policy."""
+def _do_nothing(*args: object, **kwargs: object) -> None:
+    """Replace a policy with a no-op."""
 
 
-Switch = Callable[[], object]
+PatchFactory = Callable[[], object]
 
-_SERVICE = "chestnuthall.services._admission"
-_CAPACITY = "chestnuthall.core.admission._capacity"
+_ADMISSION_SERVICE_MODULE = "chestnuthall.services._admission"
+_CAPACITY_MODULE = "chestnuthall.core.admission._capacity"
 
-SWITCHES: dict[str, tuple[Switch, ...]] = {
+ABLATIONS: dict[str, tuple[PatchFactory, ...]] = {
     "baseline": (
-        lambda: patch(f"{_SERVICE}.AdmissionQueue", FifoQueue),
-        lambda: patch.object(AdaptiveLimit, "adapt", _fix_limit),
-        lambda: patch.object(FleetUsageExchange, "receive", _skip),
+        lambda: patch(f"{_ADMISSION_SERVICE_MODULE}.AdmissionQueue", FifoQueue),
+        lambda: patch.object(AdaptiveLimit, "adapt", _set_largest_limit),
+        lambda: patch.object(FleetUsageExchange, "receive", _do_nothing),
         lambda: patch.object(Router, "choose", _choose_random),
     ),
     "early_refusal": (
         lambda: patch.object(AdmissionQueue, "expected_wait_ms", lambda *_: 0.0),
         lambda: patch.object(AdmissionQueue, "_is_too_late", lambda *_: False),
     ),
-    "fleet_shares": (lambda: patch.object(FleetUsageExchange, "receive", _skip),),
+    "fleet_shares": (lambda: patch.object(FleetUsageExchange, "receive", _do_nothing),),
     "prediction": (
         lambda: patch.object(
             ClassQueue,
@@ -84,40 +84,42 @@
             lambda queue, cost, _: queue._add_service(cost),
         ),
     ),
-    "adaptive_limit": (lambda: patch.object(AdaptiveLimit, "adapt", _skip),),
-    "saved_room": (lambda: patch(f"{_CAPACITY}.CREDIT_MAX_MS", 0.0),),
+    "adaptive_limit": (lambda: patch.object(AdaptiveLimit, "adapt", _do_nothing),),
+    "saved_room": (lambda: patch(f"{_CAPACITY_MODULE}.CREDIT_MAX_MS", 0.0),),
     "urgent_room": (
         lambda: patch.object(Capacity, "has_urgent_capacity", lambda *_: False),
     ),
     "part_release": (
-        lambda: patch(f"{_SERVICE}.Admission.on_call_result", _observe_only),
+        lambda: patch(
+            f"{_ADMISSION_SERVICE_MODULE}.Admission.on_call_result", _observe_only
+        ),
     ),
 }
-POLICIES = ("urgency", *(name for name in SWITCHES if name != "baseline"))
+POLICIES = ("urgency", *(name for name in ABLATIONS if name != "baseline"))
 
 
-def _fix_limit(limit: AdaptiveLimit, utilisation_ratio: float) -> float:
+def _set_largest_limit(limit: AdaptiveLimit, utilisation_ratio: float) -> float:
     limit.ratio = RATIO_MAX
     return limit.ratio
 
 
 def _observe_only(admission, admitted, call, result, elapsed_ms) -> None:  # type: ignore[no-untyped-def]
-    """Adapt the limit but keep the room of a query until it ends."""
+    """Adapt the limit, but release no capacity before the end of the query."""
     admission._limit.observe_answer(call.replica.name, elapsed_ms)
 
 
 @contextmanager
-def switched_off(name: str) -> Iterator[None]:
-    """Run without one policy, or as the baseline; an empty name changes nothing."""
+def without_policy(name: str) -> Iterator[None]:
+    """Disable one policy or patch in the baseline; an empty name changes nothing."""
     with ExitStack() as stack:
-        for switch in SWITCHES.get(name, ()):
-            stack.enter_context(switch())  # type: ignore[arg-type]
+        for make_patch in ABLATIONS.get(name, ()):
+            stack.enter_context(make_patch())  # type: ignore[arg-type]
         yield
 
 
 def document_without(deployment: Deployment, name: str) -> EnvironmentDocument:
-    """Return the document for a run without a policy."""
-    document = document_of(deployment)
+    """Return the environment document for a run without the named policy."""
+    document = make_document(deployment)
     if name == "baseline":
         return replace(document, extra_load=ExtraLoadPolicy(max_ratio=0.0))
     if name == "urgency":
--- a/benchmarks/_upstreams.py
+++ b/benchmarks/_upstreams.py
@@ -1,4 +1,4 @@
-"""Upstream replicas in virtual time: slots, queue, connections, slow stretches."""
+"""Simulated upstream replicas in virtual time: slots, queue and connections."""
 
 import asyncio
 from collections import deque
@@ -20,13 +20,13 @@
 SERVICE_MEDIAN_MS = 16.0
 SERVICE_SIGMA = 0.4
 N_QUEUED_MAX = 12
-# How long a connection attempt lasts at a replica that no longer answers.
-HANG_MS = 1_000.0
+# Time until a connection attempt to an unresponsive replica fails.
+CONNECT_TIMEOUT_MS = 1_000.0
 
 
 @dataclass(slots=True)
 class ReplicaModel:
-    """One replica, shared by all instances of the virtual fleet."""
+    """Simulated replica, shared by all instances of the virtual fleet."""
 
     name: str
     zone: str
@@ -47,12 +47,12 @@
     waiting: deque["asyncio.Future[None]"] = field(default_factory=deque)
 
     def service_ms(self) -> float:
-        """Return the time that the next call takes in its slot."""
-        drawn_ms = SERVICE_MEDIAN_MS * self.random.lognormvariate(0.0, SERVICE_SIGMA)
-        return drawn_ms * self.slow_factor
+        """Sample the service time of the next call."""
+        sampled_ms = SERVICE_MEDIAN_MS * self.random.lognormvariate(0.0, SERVICE_SIGMA)
+        return sampled_ms * self.slow_factor
 
     async def run(self, clock: Clock) -> bool:
-        """Run one call in a slot; return False if it was shed."""
+        """Run one call in a slot; return False if the queue is full."""
         if self.n_running >= self.size.n_slots:
             if len(self.waiting) >= N_QUEUED_MAX:
                 self.n_shed += 1
@@ -62,7 +62,7 @@
             try:
                 await slot
             except asyncio.CancelledError:
-                self._give_up(slot)
+                self._leave_queue(slot)
                 raise
         else:
             self.n_running += 1
@@ -75,7 +75,7 @@
             self._free_slot()
         return True
 
-    def _give_up(self, slot: "asyncio.Future[None]") -> None:
+    def _leave_queue(self, slot: "asyncio.Future[None]") -> None:
         self.n_cancelled += 1
         if slot.done() and not slot.cancelled():
             self._free_slot()
@@ -92,27 +92,27 @@
 
 
 class UpstreamModel:
-    """All replicas of a deployment."""
+    """All simulated replicas of a deployment and their partition maps."""
 
     def __init__(self, deployment: Deployment, seed: int) -> None:
         self.deployment = deployment
         self.seed = seed
         self.replicas: dict[str, ReplicaModel] = {}
-        self.published: dict[str, PartitionMap] = {}
-        self.n_written = 0
+        self.published_maps: dict[str, PartitionMap] = {}
+        self.n_sent = 0
         self.n_repeated = 0
-        self._written: set[tuple[str, str]] = set()
+        self._sent: set[tuple[str, str]] = set()
 
-    def note_written(self, call: ShardCall) -> None:
-        """Count a call that reached a replica, and repeats for the same shard."""
+    def record_call(self, call: ShardCall) -> None:
+        """Count a call sent to a replica; a second one for a shard is a repeat."""
         key = (call.request.request_id, call.shard_id)
-        self.n_written += 1
-        self.n_repeated += key in self._written
-        self._written.add(key)
+        self.n_sent += 1
+        self.n_repeated += key in self._sent
+        self._sent.add(key)
 
     def publish(self, partition_map: PartitionMap) -> None:
-        """Create the replicas of a map that do not exist yet."""
-        self.published[partition_map.group] = partition_map
+        """Publish a partition map and create its replicas that do not exist yet."""
+        self.published_maps[partition_map.group] = partition_map
         size = self.deployment.group(partition_map.group)
         for shard in partition_map.shards:
             for replica in shard.replicas:
@@ -126,15 +126,15 @@
 
     @property
     def n_started(self) -> int:
-        """Calls that replicas began, cancelled ones included."""
+        """Number of calls that replicas started, cancelled ones included."""
         return sum(item.n_started for item in self.replicas.values())
 
 
 class ModelCaller:
-    """Shard caller port of one instance in virtual time.
+    """Shard caller port of one instance, in virtual time.
 
-    It keeps connections within the instance's budget, charges the cost of a
-    new connection, and delays messages between zones.
+    It keeps the connections within the instance's budget, adds the time to open
+    a new connection and delays messages between zones.
     """
 
     def __init__(self, upstreams: UpstreamModel, zone: str, clock: Clock) -> None:
@@ -156,13 +156,13 @@
     async def fetch_partition_map(
         self, replica: Replica, timeout_ms: float
     ) -> PartitionMap | Failure:
-        """Return the newest published map."""
+        """Return the latest published map."""
         await self._clock.sleep_ms(1.0)
         group = self._upstreams.replicas[replica.name].size.name
-        return self._upstreams.published[group]
+        return self._upstreams.published_maps[group]
 
     async def call(self, call: ShardCall) -> ShardAnswer | Failure:
-        """Run one call and return the whole answer that echoes its id."""
+        """Run one call; return its complete answer or the reason for the failure."""
         remaining_ms = call.deadline_ms - self._clock.now_ms()
         try:
             async with asyncio.timeout(max(0.0, remaining_ms) / 1000.0):
@@ -173,8 +173,8 @@
     async def _call(self, call: ShardCall) -> ShardAnswer | Failure:
         model = self._upstreams.replicas[call.replica.name]
         if not model.is_alive:
-            await self._clock.sleep_ms(HANG_MS if model.is_hanging else 1.0)
-            return NO_REPLICA.with_reason("no connection")
+            await self._clock.sleep_ms(CONNECT_TIMEOUT_MS if model.is_hanging else 1.0)
+            return NO_REPLICA.with_reason("cannot connect to the replica")
         await self._acquire(model, call.request.group)
         try:
             return await self._run(call, model)
@@ -217,17 +217,17 @@
         if model.zone != self._zone:
             delay_ms = self._upstreams.deployment.zone_delay_ms
         self.n_calls += 1
-        self._upstreams.note_written(call)
+        self._upstreams.record_call(call)
         await self._clock.sleep_ms(delay_ms)
         if call.snapshot_id not in model.held_snapshots:
             await self._clock.sleep_ms(delay_ms)
-            return SNAPSHOT_GONE.with_reason("not held")
-        was_run = await model.run(self._clock)
+            return SNAPSHOT_GONE.with_reason("the replica does not have the snapshot")
+        was_executed = await model.run(self._clock)
         await self._clock.sleep_ms(delay_ms)
-        if not was_run:
-            return SHED_BY_UPSTREAM.with_reason("the queue is full")
+        if not was_executed:
+            return SHED_BY_UPSTREAM.with_reason("the queue of the replica is full")
         if not model.is_alive:
-            return CONNECTION_LOST.with_reason("the replica was lost")
+            return CONNECTION_LOST.with_reason("the replica failed during the call")
         return ShardAnswer(
             call_id=call.call_id,
             shard_id=call.shard_id,
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -1,4 +1,4 @@
-"""Prints memory per item of state: ``python -m benchmarks.memory``."""
+"""Print the memory per item of state: ``python -m benchmarks.memory``."""
 
 import json
 
@@ -6,7 +6,7 @@
 
 
 def main() -> None:
-    """Measure and print one JSON object."""
+    """Measure the memory and print it as a JSON object."""
     figures = measure_memory()
     print(json.dumps({key: round(value) for key, value in figures.items()}, indent=2))
 
--- a/benchmarks/processor.py
+++ b/benchmarks/processor.py
@@ -1,7 +1,7 @@
 """Processor time per shard call in the services: ``python -m benchmarks.processor``.
 
-There are no sockets: the shard caller answers at the next turn of the loop. The
-bare figure is that of the same calls without the services.
+No sockets are used: the shard caller answers after a sleep of 1 ms in virtual time.
+The bare figure is the time of the same calls without the services.
 """
 
 import asyncio
@@ -19,10 +19,10 @@
 
 
 class EchoCaller:
-    """Shard caller that answers every call at the next turn of the loop."""
+    """Shard caller that answers every call after 1 ms of virtual time."""
 
     async def call(self, call: ShardCall) -> ShardAnswer:
-        """Answer a call."""
+        """Return an answer with one hit."""
         await asyncio.sleep(0.001)
         return ShardAnswer(
             call.call_id,
@@ -45,15 +45,15 @@
         profiler.enable()
     started_s = time.process_time()
     for number in range(n_queries):
-        await instance.query.serve(_request(number, fleet.clock.now_ms()))
-    served_s = time.process_time() - started_s
+        await instance.query.serve(_make_request(number, fleet.clock.now_ms()))
+    served_cpu_s = time.process_time() - started_s
     if profile:
         profiler.disable()
         pstats.Stats(profiler).sort_stats("tottime").print_stats(15)
-    partition_map = fleet.upstreams.published["wide"]
+    partition_map = fleet.upstreams.published_maps["wide"]
     started_s = time.process_time()
     for number in range(n_queries):
-        request = _request(number, fleet.clock.now_ms())
+        request = _make_request(number, fleet.clock.now_ms())
         await asyncio.gather(
             *(
                 echo.call(
@@ -62,13 +62,13 @@
                 for shard in partition_map.shards
             )
         )
-    bare_s = time.process_time() - started_s
+    bare_cpu_s = time.process_time() - started_s
     await fleet.stop()
     n_calls = n_shards * n_queries
-    return 1e6 * served_s / n_calls, 1e6 * bare_s / n_calls
+    return 1e6 * served_cpu_s / n_calls, 1e6 * bare_cpu_s / n_calls
 
 
-def _request(number: int, now_ms: float) -> SearchRequest:
+def _make_request(number: int, now_ms: float) -> SearchRequest:
     return SearchRequest(
         request_id=f"q{number}",
         class_name="urgent",
@@ -82,7 +82,7 @@
 
 
 def main(*, profile: bool = False) -> None:
-    """Print microseconds per shard call for several widths of a search."""
+    """Print the processor time per shard call for several numbers of shards."""
     for n_shards, n_queries in ((10, 300), (100, 40), (1800, 4)):
         served_us, bare_us = run_virtual(_measure(n_shards, n_queries, profile))
         print(
--- a/benchmarks/processor_time.py
+++ b/benchmarks/processor_time.py
@@ -1,4 +1,4 @@
-"""Prints processor time per shard call: ``python -m benchmarks.processor_time``."""
+"""Print the processor time per shard call: ``python -m benchmarks.processor_time``."""
 
 import json
 
@@ -8,7 +8,7 @@
 
 
 def main(*, n_queries: int = 800) -> None:
-    """Measure and print one JSON object."""
+    """Measure the processor time and print it as a JSON object."""
     figures = measure_processor_time(n_queries)
     print(
         json.dumps({key: round(value, 3) for key, value in figures.items()}, indent=2)
--- a/benchmarks/store_calls.py
+++ b/benchmarks/store_calls.py
@@ -1,8 +1,8 @@
-"""Measures the calls that instances make to the object store.
+"""Count the calls that instances make to the object store.
 
-``python benchmarks/store_calls.py`` prints one JSON line per measurement: a
-fleet of processes on loopback, idle and with mutations, and claims of nine
-instances in virtual time with a store that answers in 2 ms.
+``python benchmarks/store_calls.py`` prints one JSON line per measurement: a fleet of
+processes on loopback, idle and with mutations; the partition codec; and claims of
+nine instances in virtual time, with a store that answers in 2 ms.
 """
 
 import asyncio
@@ -31,16 +31,16 @@
 )
 from chestnuthall.standins.virtual_time import run_virtual
 
-DOCUMENT = Path(__file__).parents[1] / "examples" / "environment.jsonc"
-N_FLEET = 5
+DOCUMENT_PATH = Path(__file__).parents[1] / "examples" / "environment.jsonc"
+N_FLEET_INSTANCES = 5
 WINDOW_S = 60.0
 N_CLAIM_INSTANCES = 9
-CLAIM_SECONDS = 20.0
+CLAIM_DURATION_S = 20.0
 STORE_DELAY_MS = 2.0
 
 
-async def read_calls(fleet: LocalFleet) -> list[dict[str, int]]:
-    """Return each instance's calls of the last minute."""
+async def read_store_calls(fleet: LocalFleet) -> list[dict[str, int]]:
+    """Return the store calls of each instance in the last minute."""
     replies = [
         await item.client.send("GET", "/v1/admin/status") for item in fleet.instances
     ]
@@ -48,7 +48,7 @@
 
 
 async def send_mutations(fleet: LocalFleet, n_per_s: float, duration_s: float) -> int:
-    """Send mutations with new keys to the instances in turn."""
+    """Send mutations with new keys to the instances in turn; return the successes."""
     n_ok = 0
     for n in range(int(n_per_s * duration_s)):
         client = fleet.instances[n % len(fleet.instances)].client
@@ -68,26 +68,26 @@
 
 
 async def measure_fleet() -> None:
-    """Print the calls of a minute without and with mutations."""
+    """Print the store calls per minute of an idle fleet and under mutations."""
     plan = FleetPlan(
         groups=(
             GroupPlan(name="planner-desk", n_shards=1, n_replicas=1),
             GroupPlan(name="booking-ledger", n_shards=1, n_replicas=2),
         ),
-        document_text=DOCUMENT.read_text(),
-        n_instances=N_FLEET,
+        document_text=DOCUMENT_PATH.read_text(),
+        n_instances=N_FLEET_INSTANCES,
     )
     async with LocalFleet(plan) as fleet:
         await asyncio.sleep(WINDOW_S + 5.0)
-        idle = await read_calls(fleet)
+        idle = await read_store_calls(fleet)
         print(json.dumps({"fleet": "idle", "calls_per_min": idle}), flush=True)
         n_ok = await send_mutations(fleet, 10.0, WINDOW_S)
-        busy = await read_calls(fleet)
+        busy = await read_store_calls(fleet)
         print(json.dumps({"fleet": "busy", "n_ok": n_ok, "calls_per_min": busy}))
 
 
-def new_request(n: int, clock: LoopClock) -> MutationRequest:
-    """Return a mutation with a key of its own."""
+def make_request(n: int, clock: LoopClock) -> MutationRequest:
+    """Return a mutation with a unique idempotency key."""
     return MutationRequest(
         request_id=f"m{n}",
         class_name="planner",
@@ -103,7 +103,7 @@
 
 
 async def measure_claims(n_per_s: float, n_partitions: int) -> dict[str, object]:
-    """Return calls per claim and latency for an offered rate of claims."""
+    """Return the store calls per claim and the latency at a rate of claims."""
     service = ObjectService()
     service.set_faults(StoreFaults(delay_ms=STORE_DELAY_MS))
     clock = LoopClock(3_600_000.0, wall_from_loop=True)
@@ -126,7 +126,7 @@
         nonlocal n_refused
         started_ms = clock.now_ms()
         ledger = ledgers[n % N_CLAIM_INSTANCES]
-        result = await ledger.claim(new_request(n, clock))
+        result = await ledger.claim(make_request(n, clock))
         if isinstance(result, KeyClaim):
             durations_ms.append(clock.now_ms() - started_ms)
         else:
@@ -134,7 +134,7 @@
 
     random = Random(1)
     tasks = []
-    while clock.now_ms() < CLAIM_SECONDS * 1000.0:
+    while clock.now_ms() < CLAIM_DURATION_S * 1000.0:
         tasks.append(asyncio.ensure_future(claim(len(tasks))))
         await asyncio.sleep(random.expovariate(n_per_s))
     await asyncio.gather(*tasks)
@@ -145,21 +145,21 @@
         "n_refused": n_refused,
         "reads_per_claim": round(service.n_calls["get claims"] / len(tasks), 2),
         "writes_per_claim": round(service.n_calls["put claims"] / len(tasks), 2),
-        "writes_per_s": round(service.n_calls["put claims"] / CLAIM_SECONDS, 1),
+        "writes_per_s": round(service.n_calls["put claims"] / CLAIM_DURATION_S, 1),
         "p50_ms": round(durations_ms[len(durations_ms) // 2], 1),
         "p99_ms": round(durations_ms[int(len(durations_ms) * 0.99)], 1),
     }
 
 
 def measure_codec(n_entries: int) -> dict[str, object]:
-    """Return the processor time of one claim in a partition of some size."""
+    """Return the processor time of each codec step for a partition of this size."""
     codec = JsonPartitionCodec()
     settings = LedgerSettings()
     keys = (KeyClaim(f"bench-key-{n:08d}", "0" * 16, 1e12) for n in range(n_entries))
     partition = add_claims(EMPTY_PARTITION, tuple(keys), settings, 1e12)[0]
     text = codec.encode(partition)
-    parts_ms = []
-    for work in (
+    operation_times_ms = []
+    for operation in (
         lambda: codec.decode(text),
         lambda: add_claims(
             partition, (KeyClaim("another-key", "1" * 16, 1e12),), settings, 1e12
@@ -168,19 +168,19 @@
     ):
         started_s = time.process_time()
         for _ in range(20):
-            work()
-        parts_ms.append(round((time.process_time() - started_s) * 50.0, 2))
+            operation()
+        operation_times_ms.append(round((time.process_time() - started_s) * 50.0, 2))
     return {
         "n_entries": n_entries,
         "n_bytes": len(text),
-        "decode_ms": parts_ms[0],
-        "add_ms": parts_ms[1],
-        "encode_ms": parts_ms[2],
+        "decode_ms": operation_times_ms[0],
+        "add_ms": operation_times_ms[1],
+        "encode_ms": operation_times_ms[2],
     }
 
 
 def main() -> None:
-    """Run every measurement, or all but the fleet of processes."""
+    """Run all measurements; ``--no-fleet`` leaves out the fleet of processes."""
     if "--no-fleet" not in sys.argv:
         asyncio.run(measure_fleet())
     for n_entries in (100, 1_000, 5_900):
