--- a/chestnuthall/services/_admission.py
+++ b/chestnuthall/services/_admission.py
@@ -165,7 +165,7 @@
         self._apply_limit()
 
     def adapt(self) -> None:
-        """Adapt the limit to the latencies and sheds observed since the last call."""
+        """Adapt the limit to the latencies and shed calls since the last adaptation."""
         self._handle(WakeUpDue(self._clock.now_ms()))
         self._limit.adapt(self.utilisation_ratio)
         self._apply_limit()
--- a/chestnuthall/services/_decision_log.py
+++ b/chestnuthall/services/_decision_log.py
@@ -23,9 +23,8 @@
 # 35 us, so that the log takes less than a twentieth of the time of the requests.
 N_LINES_BURST = 600.0
 N_LINES_PER_S = 60.0
-# Fractions of the bucket that are reserved for requests that were refused, late,
-# partial or retried: against summary lines and against decision lines of ordinary
-# requests.
+# Fractions of the bucket that the summary lines and the decision lines of ordinary
+# requests leave to requests that were refused, late, partial or retried.
 SUMMARY_RESERVE_RATIO = 0.25
 DECISION_RESERVE_RATIO = 0.6
 
--- a/chestnuthall/services/_fan_out_run.py
+++ b/chestnuthall/services/_fan_out_run.py
@@ -127,9 +127,9 @@
         self._cancel_by_call_id[call.call_id] = cancel
 
     def _start_directly(self, call: ShardCall) -> Callable[[], object] | None:
-        """Start a call without a task; return None if it needs one.
+        """Start a call without a task and return the function that cancels it.
 
-        Return the function that cancels the call otherwise.
+        Return None if the call needs a task.
         """
         if self._direct_caller is None:
             return None
--- a/chestnuthall/services/_fleet_view.py
+++ b/chestnuthall/services/_fleet_view.py
@@ -155,12 +155,14 @@
         """
         expires_at_ms = self._clock.now_ms() + timeout_ms
         while True:
-            seen = await self.query_status(instances)
-            seen = tuple(
-                x for x in seen if _may_be_in_environment(x, record.environment)
+            observations = await self.query_status(instances)
+            observations = tuple(
+                x for x in observations if _may_be_in_environment(x, record.environment)
             )
-            behind = tuple(item for item in seen if not _has_revision(item, record))
-            on_progress(len(seen) - len(behind), len(seen))
+            behind = tuple(
+                item for item in observations if not _has_revision(item, record)
+            )
+            on_progress(len(observations) - len(behind), len(observations))
             if not behind or self._clock.now_ms() >= expires_at_ms:
                 return behind
             await self._clock.sleep_ms(interval_ms)
@@ -172,19 +174,19 @@
         fast_burn_classes: tuple[str, ...],
     ) -> TrialEvidence:
         """Return the evidence of an environment's instances about a revision."""
-        seen = await self.query_status(instances)
-        statuses = [item.status for item in seen]
+        observations = await self.query_status(instances)
+        statuses = [item.status for item in observations]
         return TrialEvidence(
             record=record,
             gathered_wall_ms=self._clock.wall_ms(),
             instances=tuple(
-                _evidence_of(status)
+                _instance_evidence(status)
                 for status in statuses
                 if isinstance(status, InstanceStatus)
                 and status.environment == record.environment
             ),
             silent_names=tuple(
-                x.listed.name for x in seen if isinstance(x.status, Failure)
+                x.listed.name for x in observations if isinstance(x.status, Failure)
             ),
             fast_burn_classes=fast_burn_classes,
         )
@@ -248,17 +250,17 @@
         return {x.name: result for x, result in zip(instances, results, strict=True)}
 
 
-def _may_be_in_environment(seen: InstanceObservation, environment: str) -> bool:
-    status = seen.status
+def _may_be_in_environment(observation: InstanceObservation, environment: str) -> bool:
+    status = observation.status
     return isinstance(status, Failure) or status.environment == environment
 
 
-def _has_revision(seen: InstanceObservation, record: RevisionRecord) -> bool:
-    status = seen.status
+def _has_revision(observation: InstanceObservation, record: RevisionRecord) -> bool:
+    status = observation.status
     return not isinstance(status, Failure) and status.revision >= record.revision
 
 
-def _evidence_of(status: InstanceStatus) -> InstanceEvidence:
+def _instance_evidence(status: InstanceStatus) -> InstanceEvidence:
     refused = [item for item in status.n_by_result if item[0] not in SUCCESS_NAMES]
     return InstanceEvidence(
         name=status.name,
--- a/chestnuthall/services/_health_checks.py
+++ b/chestnuthall/services/_health_checks.py
@@ -18,7 +18,7 @@
 DRAINED_CHECK_INTERVAL_MS = 1_000.0
 HEALTH_TIMEOUT_MS = 500.0
 # Number of look-ups in the hash ring between two yields to the event loop.
-N_REPLICAS_PER_TURN = 500
+N_LOOKUPS_PER_YIELD = 500
 # Each drained replica is checked by two instances, so that the end of its drain is
 # detected even if one of them fails.
 N_CHECKERS_OF_DRAINED = 2
@@ -86,7 +86,7 @@
         for index, (group, replica) in enumerate(replicas):
             if own_name in ring.owners(replica.name, n_checkers):
                 own_replicas.append((group, replica))
-            if index % N_REPLICAS_PER_TURN == N_REPLICAS_PER_TURN - 1:
+            if index % N_LOOKUPS_PER_YIELD == N_LOOKUPS_PER_YIELD - 1:
                 await self._clock.sleep_ms(0.0)
         return own_replicas
 
--- a/chestnuthall/services/_lifecycle.py
+++ b/chestnuthall/services/_lifecycle.py
@@ -7,8 +7,8 @@
 
 _log = logging.getLogger(__name__)
 
-# Time after the end of all other requests for the last bytes of an answer to reach
-# a slow caller, and for the remainder of a request to arrive.
+# Time that a stop waits, after all running requests have ended, for a slow caller
+# to read its answer or to send the rest of a request.
 LINGER_MS = 10_000.0
 
 
@@ -71,7 +71,7 @@
         if self._n_in_flight == 0:
             self._idle.set()
 
-    async def drain(self, listener: CallerServer, was_ready: bool = True) -> None:
+    async def drain(self, server: CallerServer, was_ready: bool = True) -> None:
         """Serve during the leave notice, then stop listening and finish all requests.
 
         An instance that was never ready has no callers to move, so it skips the
@@ -82,18 +82,18 @@
         timeout_s = None if limit_ms is None else limit_ms / 1000.0
         try:
             async with asyncio.timeout(timeout_s):
-                await self._drain(listener, was_ready)
+                await self._drain(server, was_ready)
         except TimeoutError:
             _log.warning(
                 "stop ended before all requests", extra={"n_left": self._n_in_flight}
             )
 
-    async def _drain(self, listener: CallerServer, was_ready: bool) -> None:
+    async def _drain(self, server: CallerServer, was_ready: bool) -> None:
         if was_ready:
             await self._clock.sleep_ms(self._quiet_ms)
-        listener.announce_close()
+        server.announce_close()
         if was_ready:
             await self._clock.sleep_ms(self._leave_notice_ms - self._quiet_ms)
-        await listener.stop_listening()
+        await server.stop_listening()
         await self._idle.wait()
-        await listener.wait_closed(LINGER_MS)
+        await server.wait_closed(LINGER_MS)
--- a/chestnuthall/services/_query.py
+++ b/chestnuthall/services/_query.py
@@ -97,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Plan:
-    """The class, group and pinned map that a request is served with."""
+    """The class, group, pinned map and extra-load budget that serve a request."""
 
     caller_class: CallerClass
     group: UpstreamGroup
@@ -423,7 +423,7 @@
         failure: Failure,
         completion: Completion | None = None,
     ) -> Refusal:
-        run_state, repeat = _run_and_repeat(progress, failure, completion)
+        run_state, repeat = _run_state_and_retry_advice(progress, failure, completion)
         is_safe_to_repeat = run_state is RunState.NO and repeat is RetryAdvice.SAFE
         return Refusal(
             request_id=progress.request.request_id,
@@ -467,15 +467,15 @@
     return outcome.failure.code
 
 
-def _run_and_repeat(
+def _run_state_and_retry_advice(
     progress: _Progress, failure: Failure, completion: Completion | None
 ) -> tuple[RunState, RetryAdvice]:
     """Return whether a refused request was run, and whether it may be repeated.
 
     Before the fan-out, the kind of the failure states both, as far as they are
-    known. Afterwards the results
-    of the calls decide whether it was run: a search whose calls were all refused
-    before they started was not run, whatever the kind of its failure states.
+    known. Afterwards the results of the calls decide whether it was run: a search
+    whose calls were all refused before they started was not run, whatever the kind
+    of its failure states.
     A mutation whose key stays claimed needs a new key to be repeated.
     """
     kind = failure.kind
--- a/chestnuthall/services/_shared_store.py
+++ b/chestnuthall/services/_shared_store.py
@@ -22,10 +22,9 @@
 LEADER_WATCH_TIMEOUT_MS = 1_000.0
 # Time-out of the first watch of an instance that becomes a leader.
 FIRST_WATCH_TIMEOUT_MS = 50.0
-# Time for reading all objects of a kind from a peer, by an instance that starts while
-# the store is unavailable.
+# Time-out of reading all objects of a kind from a peer while the store is unavailable.
 SNAPSHOT_TIMEOUT_MS = 300.0
-# Peers in the same zone that are queried for this, in addition to the seeds.
+# Peers in the same zone that are queried for such a snapshot, besides the seeds.
 N_PEERS_QUERIED = 2
 
 
@@ -106,14 +105,14 @@
     async def _query_peers(
         self, kind: str, feed: ObjectFeed
     ) -> tuple[StoredObject, ...]:
-        """Return the objects of a peer whose feed is better, or nothing.
+        """Return the objects of the first peer whose feed is preferable, or nothing.
 
-        Keeps an instance up to date that the store does not serve, and initialises
-        one that starts during an outage of the store.
+        An instance that the store does not serve thus stays up to date, and one that
+        starts during an outage of the store gets its first objects.
         """
         for address in self._peer_addresses():
             answer = await self._peer_feeds.snapshot(address, kind, SNAPSHOT_TIMEOUT_MS)
-            if isinstance(answer, Failure) or not self._is_better(answer, feed):
+            if isinstance(answer, Failure) or not self._is_preferable(answer, feed):
                 continue
             batch = answer.batch
             if batch.version > feed.version:
@@ -131,7 +130,7 @@
             return batch.changed
         return ()
 
-    def _is_better(self, answer: FeedAnswer, feed: ObjectFeed) -> bool:
+    def _is_preferable(self, answer: FeedAnswer, feed: ObjectFeed) -> bool:
         """Return whether an answer is newer, or as new and recently confirmed."""
         batch = answer.batch
         if not batch.changed or batch.version < feed.version:
@@ -188,7 +187,7 @@
     async def _watch_store(
         self, kind: str, after_version: int, left_ms: float
     ) -> WatchBatch | Failure:
-        """Watch the store; in a zone with leaders with a short time-out.
+        """Watch the store, with a short time-out if the zone has leaders.
 
         The feed of a leader must stay recent. An instance whose leaders have no recent
         feed may start its watch during an outage of the store, and such a watch does
@@ -198,7 +197,7 @@
         if self._leader_selector.is_zone_large_enough:
             left_ms = self._timing.watch_timeout_ms
             if kind not in self._kinds_from_store:
-                # Its followers need to learn soon that its feed is recent.
+                # The followers of a new leader need a recent feed soon.
                 left_ms = FIRST_WATCH_TIMEOUT_MS
         self._kinds_from_store.add(kind)
         batch = await self._store.watch(kind, after_version, left_ms)
--- a/chestnuthall/services/_status.py
+++ b/chestnuthall/services/_status.py
@@ -194,7 +194,7 @@
         self._quarantines = quarantines
 
     def read_status(self) -> object:
-        """Return drained replicas with their signals, and fingerprints."""
+        """Return drained replicas with their signals, and quarantined fingerprints."""
         return {
             "drains": {
                 notice.replica_name: notice.signal.value
--- a/chestnuthall/services/tests/test_decision_log.py
+++ b/chestnuthall/services/tests/test_decision_log.py
@@ -1,6 +1,6 @@
 """Guards the rate limit of decision lines and the precedence of requests in it.
 
-Without the limit, the log would take a large part of the time of the requests. Without
+Without the limit, logging would take a large fraction of the processing time. Without
 the precedence, lines of ordinary requests would suppress those of failed ones.
 """
 
--- a/chestnuthall/services/tests/test_fault_matrix.py
+++ b/chestnuthall/services/tests/test_fault_matrix.py
@@ -1,6 +1,8 @@
 """Guards the guarantees of a request under faults injected at each of its steps.
 
-The names of faults, steps and kinds are part of the seeds.
+The names of faults, steps and kinds enter the seeds, so that renaming one changes
+the test. The step ``part`` is reached at the second shard answer of a search, or at
+the first one of a lookup or mutation.
 """
 
 import asyncio
--- a/chestnuthall/services/tests/test_fleet_usage.py
+++ b/chestnuthall/services/tests/test_fleet_usage.py
@@ -68,7 +68,7 @@
         document = make_document()
         self.admission = self.admissions.of(document, document.groups[0], 40.0)
         members = tuple(MemberUpdate(x, x, "z", "alive", 0) for x in peers if x != name)
-        self.use = FleetUsageExchange(
+        self.exchange = FleetUsageExchange(
             name, self.clock, self.admissions, lambda: members
         )
         self.name = name
@@ -81,7 +81,7 @@
             configuration_revision=1,
             configuration_digest="",
         )
-        return self.use.add_to(digest)
+        return self.exchange.add_to(digest)
 
     async def serve(self, n_queries, cost=10.0):
         for number in range(n_queries):
@@ -100,13 +100,13 @@
     a, b, c = (Node(name, ("a", "b", "c")) for name in "abc")
     await a.serve(1)
     for digest in (a.make_digest(), b.make_digest(), a.make_digest()):
-        b.use.receive(digest)
-        c.use.receive(digest)
+        b.exchange.receive(digest)
+        c.exchange.receive(digest)
     await a.serve(2)
-    b.use.receive(a.make_digest())
+    b.exchange.receive(a.make_digest())
     before = c.service()
     for digest in (b.make_digest(), a.make_digest(), b.make_digest()):
-        c.use.receive(digest)
+        c.exchange.receive(digest)
     return c.service() - before
 
 
@@ -116,8 +116,8 @@
     before = a.service()
     for n_queries in (0, 2):
         await a.serve(n_queries)
-        b.use.receive(a.make_digest())
-        a.use.receive(b.make_digest())
+        b.exchange.receive(a.make_digest())
+        a.exchange.receive(b.make_digest())
     return a.service() - before
 
 
@@ -126,18 +126,18 @@
     await a.serve(30)
     await b.serve(1)
     for _ in range(2):
-        a.use.update_quotas()
-        b.use.update_quotas()
-        a.use.receive(b.make_digest())
-        b.use.receive(a.make_digest())
-    a.use.update_quotas()
-    b.use.update_quotas()
+        a.exchange.update_quotas()
+        b.exchange.update_quotas()
+        a.exchange.receive(b.make_digest())
+        b.exchange.receive(a.make_digest())
+    a.exchange.update_quotas()
+    b.exchange.update_quotas()
     return a.admission.limit_cost + b.admission.limit_cost
 
 
 async def divide_without_reports():
     a = Node("a", ("a", "b", "c", "d"))
-    a.use.update_quotas()
+    a.exchange.update_quotas()
     return a.admission.limit_cost
 
 
@@ -179,7 +179,7 @@
         for name in names:
             node = Node(name, names)
             await node.serve(1)
-            hub.use.receive(node.make_digest())
+            hub.exchange.receive(node.make_digest())
         return hub.make_digest()
 
     assert len(run_virtual(fill_digest()).uses) == N_USES_MAX
--- a/chestnuthall/services/tests/test_serving.py
+++ b/chestnuthall/services/tests/test_serving.py
@@ -78,8 +78,8 @@
         return await harness.query.serve(harness.request(kind))
 
     outcome = run_virtual(scenario())
-    is_found = isinstance(outcome, Refusal) and outcome.failure.kind is NO_REPLICA
-    assert is_found == is_refused
+    has_no_replica = isinstance(outcome, Refusal) and outcome.failure.kind is NO_REPLICA
+    assert has_no_replica == is_refused
     if is_refused:
         assert outcome.account.admission.n_ahead_at_arrival == 0
         assert outcome.account.fan_out.n_calls == 0
--- a/chestnuthall/services/tests/test_shared_store.py
+++ b/chestnuthall/services/tests/test_shared_store.py
@@ -154,10 +154,10 @@
             selector = LeaderSelector(name)
             selector.leader(names, 0.0)
             positions[name] = selector.position
-            self.feeds.stores[name] = self.make(name)
+            self.feeds.stores[name] = self.make_store(name)
         self.names = sorted(names, key=positions.get)
 
-    def make(self, name):
+    def make_store(self, name):
         return SharedObjectStore(
             self.store.client_of(name),
             self.clock,
@@ -275,7 +275,10 @@
 def test_change_after_an_unresponsive_store_arrives_once_the_store_is_stable(
     outage_s, offset_s
 ):
-    """A follower whose leaders had no recent feed began a long watch in the outage."""
+    """Guards against a follower that starts a long watch during the outage.
+
+    It did so if its leaders had no recent feed.
+    """
 
     async def scenario():
         fleet = Fleet()
@@ -296,6 +299,8 @@
 
 
 def test_zone_without_changes_costs_the_calls_of_its_leader():
+    """Followers must not call the store while nothing changes."""
+
     async def scenario():
         fleet = Fleet()
         for name in fleet.names:
@@ -339,7 +344,7 @@
         await asyncio.sleep(2.0)
         fleet.store.put("b", "1")
         fleet.store.n_lists = 0
-        fleet.feeds.stores[leader] = fleet.make(leader)
+        fleet.feeds.stores[leader] = fleet.make_store(leader)
         fleet.start(leader)
         fleet.feeds.unreachable.clear()
         await asyncio.sleep(12.0)
@@ -437,6 +442,8 @@
 
 
 def test_feed_that_the_store_no_longer_confirms_is_refused():
+    """A follower must not rely on a leader that does not reach the store."""
+
     async def scenario():
         feed = ObjectFeed(LoopTimeClock(), 1_000.0)
         feed.load((StoredObject(KIND, "z", 5, "0"),), 10)
