--- a/chestnuthall/adapters/documents/_burn.py
+++ b/chestnuthall/adapters/documents/_burn.py
@@ -17,7 +17,7 @@
 # Counts by class name, slot length in milliseconds and slot index. A tuple holds
 # the number of requests, then the number of bad requests per cause in the order of
 # ``CAUSES``; trailing zeros are left out.
-_Classes = dict[str, dict[int, dict[int, tuple[int, ...]]]]
+_CountsByClass = dict[str, dict[int, dict[int, tuple[int, ...]]]]
 
 
 class _BurnModel(BaseModel):
@@ -26,7 +26,7 @@
     n_writes: int
     n_writes_forgotten: int
     writers: dict[str, tuple[int, int]]
-    classes: _Classes
+    classes: _CountsByClass
 
 
 class JsonBurnCodec:
@@ -34,7 +34,7 @@
 
     def encode(self, ledger: BurnLedger) -> str:
         """Return the text that is stored."""
-        classes: _Classes = {}
+        classes: _CountsByClass = {}
         for key, tally in ledger.counts.tallies.items():
             slots = classes.setdefault(key.class_name, {}).setdefault(key.slot_ms, {})
             slots[key.index] = _without_trailing_zeros((tally.n_requests, *tally.n_bad))
--- a/chestnuthall/adapters/feeds/tests/test_contract.py
+++ b/chestnuthall/adapters/feeds/tests/test_contract.py
@@ -45,10 +45,10 @@
         await server.close()
 
 
-# (case, what the feed returns, expected result of the watch)
 CHANGES = FeedAnswer(WatchBatch(9, (OBJECT,), ("gone",)), 1_200.0)
 NOTHING = FeedAnswer(WatchBatch(9, ()), 0.0)
 NEVER_CONFIRMED = FeedAnswer(WatchBatch(9, ()), float("inf"))
+# (case, result of the feed, expected result of the watch)
 WATCHES = [
     ("changes", CHANGES, CHANGES),
     ("nothing", NOTHING, NOTHING),
@@ -107,7 +107,10 @@
     "respond", [c[1] for c in FAULTY_PEERS], ids=[c[0] for c in FAULTY_PEERS]
 )
 def test_unusable_feed_is_reported(respond):
-    """The instance must get a failure in order to read the store, not a late reply."""
+    """The watch must fail, so that the instance reads the store.
+
+    A late reply must not be taken as the reply to the next call.
+    """
 
     async def use_feeds(feeds, address):
         first = await feeds.watch(address, "k", 3, 10.0)
--- a/chestnuthall/adapters/http/_pool.py
+++ b/chestnuthall/adapters/http/_pool.py
@@ -123,7 +123,7 @@
             self._idle.append(connection)
 
     def close_long_idle(self) -> None:
-        """Close connections in excess of ``n_idle_kept`` idle for ``idle_close_ms``."""
+        """Close connections idle for ``idle_close_ms``, except ``n_idle_kept``."""
         if self._idle_close_ms is None:
             return
         cutoff_s = asyncio.get_running_loop().time() - self._idle_close_ms / 1000.0
--- a/chestnuthall/adapters/http/_server.py
+++ b/chestnuthall/adapters/http/_server.py
@@ -17,8 +17,6 @@
 
 Handler = Callable[[HttpRequest], Awaitable[HttpResponse]]
 ErrorResponder = Callable[[int, str], HttpResponse]
-
-
 OutputFilter = Callable[[HttpResponse, bytes], tuple[bytes, bool]]
 
 
--- a/chestnuthall/adapters/http/tests/test_client.py
+++ b/chestnuthall/adapters/http/tests/test_client.py
@@ -139,7 +139,7 @@
 
 
 def test_refused_connection_is_reported():
-    """The failure kind must tell that nothing was written."""
+    """The failure kind must show that nothing was sent to the server."""
 
     async def scenario():
         pool = ConnectionPool("127.0.0.1:1", PoolSettings())
--- a/chestnuthall/adapters/http/tests/test_server.py
+++ b/chestnuthall/adapters/http/tests/test_server.py
@@ -1,7 +1,7 @@
 """Tests of the server with clients that violate the protocol or its limits.
 
-Guards against exceptions that leave the connection, and against connections that
-stay open although the request is invalid or too slow.
+Guards against unhandled exceptions, and against connections that stay open although
+the request is invalid or too slow.
 """
 
 import asyncio
--- a/chestnuthall/adapters/objectapi/_client.py
+++ b/chestnuthall/adapters/objectapi/_client.py
@@ -32,8 +32,8 @@
 class HttpObjectStore:
     """Client of the object store at ``address``, given as ``host:port``.
 
-    ``dialect`` encodes requests and decodes responses. ``probes`` are TCP keep-alive
-    probes, which detect that the peer has become unresponsive while a watch waits.
+    ``dialect`` encodes requests and decodes responses. ``probes`` are TCP keepalive
+    probes, which detect that the store has become unresponsive while a watch waits.
     """
 
     def __init__(
--- a/chestnuthall/adapters/searchapi/_codec.py
+++ b/chestnuthall/adapters/searchapi/_codec.py
@@ -35,8 +35,8 @@
 DRAINING: Final = b"x-draining"
 NOT_STARTED: Final = b"x-not-started"
 
-# Limit of concurrent queries whose request bodies are cached; a query makes its
-# shard calls close together.
+# Maximum number of cached request bodies. The shard calls of a query are made at
+# about the same time, so one body is needed for each concurrent query.
 N_BODIES_CACHED: Final = 64
 
 
--- a/chestnuthall/adapters/searchapi/tests/test_contract.py
+++ b/chestnuthall/adapters/searchapi/tests/test_contract.py
@@ -1,7 +1,7 @@
-"""Contract tests of the shard caller port with the upstream stand-in on real sockets.
+"""Contract tests of the shard caller port with the upstream emulator on real sockets.
 
-Guards against answers that reach the wrong call, and against failures whose kind is
-wrong about whether the replica can have begun the call.
+Guards against answers that reach the wrong call, and against failures whose kind
+misstates whether the replica may have started the call.
 """
 
 import asyncio
