--- a/chestnuthall/services/_query.py
+++ b/chestnuthall/services/_query.py
@@ -97,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Plan:
-    """The class, group, pinned map and extra-load budget that serve a request."""
+    """The class, group, pinned map and extra-load budget of a request."""
 
     caller_class: CallerClass
     group: UpstreamGroup
--- a/chestnuthall/services/_shared_store.py
+++ b/chestnuthall/services/_shared_store.py
@@ -197,7 +197,7 @@
         if self._leader_selector.is_zone_large_enough:
             left_ms = self._timing.watch_timeout_ms
             if kind not in self._kinds_from_store:
-                # The followers of a new leader need a recent feed soon.
+                # The followers of a new leader soon need a recently confirmed feed.
                 left_ms = FIRST_WATCH_TIMEOUT_MS
         self._kinds_from_store.add(kind)
         batch = await self._store.watch(kind, after_version, left_ms)
