--- a/chestnuthall/adapters/searchapi/_caller.py
+++ b/chestnuthall/adapters/searchapi/_caller.py
@@ -2,7 +2,7 @@
 
 from chestnuthall.adapters.documents import read_partition_map
 from chestnuthall.adapters.http import HttpRequest, PoolSettings
-from chestnuthall.adapters.searchapi._codec import SearchCodec, read_health
+from chestnuthall.adapters.searchapi._codec import SearchCodec, decode_health
 from chestnuthall.adapters.upstreams import HttpShardCaller
 from chestnuthall.core.model import PartitionMap, Replica
 from chestnuthall.core.results import UPSTREAM_ERROR, Failure
@@ -35,4 +35,4 @@
         response = await self.exchange(replica, group, request, timeout_ms)
         if isinstance(response, Failure):
             return response
-        return read_health(response)
+        return decode_health(response)
--- a/chestnuthall/adapters/searchapi/_codec.py
+++ b/chestnuthall/adapters/searchapi/_codec.py
@@ -183,8 +183,8 @@
     return UPSTREAM_ERROR.with_reason(f"the replica answered with {response.status}")
 
 
-def read_health(response: HttpResponse) -> bool | Failure:
-    """Return whether a health report says that the replica is draining."""
+def decode_health(response: HttpResponse) -> bool | Failure:
+    """Decode a health report; return whether the replica is draining."""
     try:
         return _HealthModel.model_validate_json(response.body).draining
     except ValidationError:
