--- a/chestnuthall/adapters/searchapi/_codec.py
+++ b/chestnuthall/adapters/searchapi/_codec.py
@@ -35,8 +35,8 @@
 DRAINING: Final = b"x-draining"
 NOT_STARTED: Final = b"x-not-started"
 
-# Limit of concurrent queries whose request bodies are cached; a query makes its
-# shard calls close together.
+# Maximum number of cached request bodies. The shard calls of a query are made at
+# about the same time, so one body is needed for each concurrent query.
 N_BODIES_CACHED: Final = 64
 
 
@@ -183,8 +183,8 @@
     return UPSTREAM_ERROR.with_reason(f"the replica answered with {response.status}")
 
 
-def read_health(response: HttpResponse) -> bool | Failure:
-    """Return whether a health report says that the replica is draining."""
+def decode_health(response: HttpResponse) -> bool | Failure:
+    """Decode a health report; return whether the replica is draining."""
     try:
         return _HealthModel.model_validate_json(response.body).draining
     except ValidationError:
