--- a/chestnuthall/core/accounts/__init__.py
+++ b/chestnuthall/core/accounts/__init__.py
@@ -1,4 +1,4 @@
-"""Explanations in plain sentences of one account or of the order of two."""
+"""Explanations of one request, or of the order of two, in plain sentences."""
 
 from chestnuthall.core.accounts._explain import (
     Confidence,
--- a/chestnuthall/core/accounts/_order.py
+++ b/chestnuthall/core/accounts/_order.py
@@ -25,7 +25,7 @@
 
 
 def standing_of(account: Account, class_name: str) -> ClassStanding | None:
-    """Return the standing of a class when the query of the account was decided."""
+    """Return a class's standing when the account's query was admitted or refused."""
     standings = (x for x in account.admission.standings if x.class_name == class_name)
     return next(standings, None)
 
