--- a/chestnuthall/core/admission/_capacity.py
+++ b/chestnuthall/core/admission/_capacity.py
@@ -10,8 +10,8 @@
 DEBT_MAX_MS = 200.0
 # Capacity that the most urgent class may overdraw within its share, as time at the
 # full limit, and the running cost that it may reach, as a multiple of the limit.
-# The debt delays the less urgent classes, so that the most urgent one does not have
-# to wait until a running query ends.
+# The most urgent class then does not have to wait until a running query ends;
+# repaying the debt delays the less urgent classes instead.
 URGENT_DEBT_MAX_MS = 50.0
 URGENT_RUNNING_FACTOR = 2.0
 # Time over which accumulated credit is spent and debt is repaid, about the duration
@@ -20,7 +20,7 @@
 CREDIT_SPEND_MS = 25.0
 # Time constant of the average utilisation. The momentary utilisation of an instance
 # with capacity for a single search is either zero or one.
-USE_WINDOW_MS = 250.0
+UTILISATION_WINDOW_MS = 250.0
 
 
 @dataclass(slots=True)
@@ -45,7 +45,7 @@
         """Update credit and averages; return the time since the last update."""
         elapsed_ms = max(0.0, now_ms - self.updated_ms)
         self.updated_ms = now_ms
-        weight = 1.0 - exp(-elapsed_ms / USE_WINDOW_MS)
+        weight = 1.0 - exp(-elapsed_ms / UTILISATION_WINDOW_MS)
         self.mean_running_cost += weight * (self.running_cost - self.mean_running_cost)
         credit = self.credit_cost_ms + elapsed_ms * (
             self.limit_cost - self.running_cost
@@ -104,7 +104,7 @@
         self.running_cost_by_kind[kind] -= cost
 
     def wake_at_ms(self, cost: float) -> float | None:
-        """Return when a query could start if nothing ends before; None for never."""
+        """Return when a query could start if no other ends first; None for never."""
         spare_cost = self.limit_cost - self.running_cost
         if spare_cost <= 0.0:
             return None
--- a/chestnuthall/core/admission/_queue.py
+++ b/chestnuthall/core/admission/_queue.py
@@ -51,7 +51,7 @@
 
 
 class AdmissionQueue:
-    """Admits complete queries within a limit on concurrent shard calls.
+    """Admits queries, never single calls, within a limit on concurrent shard calls.
 
     Start-time fair queueing decides between classes, by the service that each
     received over the fleet divided by its share. Among the classes within their
@@ -154,7 +154,9 @@
         ticket = queue.head()
         if ticket is None:
             return None
-        is_urgent = rule is AdmissionRule.URGENCY_WITHIN_SHARE and self._is_top(queue)
+        is_urgent = rule is AdmissionRule.URGENCY_WITHIN_SHARE and self._is_most_urgent(
+            queue
+        )
         has_capacity = self.capacity.has_capacity(ticket.cost)
         if has_capacity or (
             is_urgent and self.capacity.has_urgent_capacity(ticket.cost)
@@ -162,7 +164,7 @@
             return self._admit_or_refuse(queue, ticket, rule, now_ms)
         return None
 
-    def _is_top(self, queue: ClassQueue) -> bool:
+    def _is_most_urgent(self, queue: ClassQueue) -> bool:
         """Return whether no configured class is more urgent."""
         urgencies = (item.caller_class.urgency for item in self.queues.values())
         return queue.caller_class.urgency >= max(urgencies)
