--- a/chestnuthall/core/burn/_accumulator.py
+++ b/chestnuthall/core/burn/_accumulator.py
@@ -28,7 +28,7 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing was added since the last call of ``take``."""
+        """Whether nothing was added since the last call of ``pop_counts``."""
         return not self._pending
 
     def add(self, class_name: str, cause: BurnCause | None, wall_ms: float) -> None:
--- a/chestnuthall/core/burn/_ledger.py
+++ b/chestnuthall/core/burn/_ledger.py
@@ -88,7 +88,7 @@
 def decide_delta(ledger: BurnLedger, delta: BurnDelta) -> DeltaDecision:
     """Decide whether a delta has been added already.
 
-    If the mark of a writer was evicted after its attempt, it is unknown whether
+    If the state of a writer was evicted after its attempt, it is unknown whether
     the attempt took effect. The delta is then discarded, because counting too
     little is better than counting twice.
     """
--- a/chestnuthall/core/burn/tests/test_burn.py
+++ b/chestnuthall/core/burn/tests/test_burn.py
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize(("code", "total_ms", "queued_ms", "cause"), CAUSES)
-def test_cause(code, total_ms, queued_ms, cause):
+def test_burn_cause(code, total_ms, queued_ms, cause):
     """Guards against burn that is attributed to the wrong cause."""
     found = burn_cause(account(code, total_ms, queued_ms), Objective(200.0, 0.99))
     assert found is cause
@@ -149,7 +149,7 @@
 
 
 def test_delta_is_added_at_most_once():
-    """Guards against a delta that is counted twice after its mark was evicted."""
+    """Guards against counting a delta twice after its writer was evicted."""
     delta = BurnDelta("me", 1, counts_at(NOW_MS, 1, 0))
     assert decide_delta(BurnLedger(), delta) is DeltaDecision.ADD
     attempted = mark_attempted(BurnLedger(), delta)
