--- a/chestnuthall/core/claims/_failures.py
+++ b/chestnuthall/core/claims/_failures.py
@@ -10,7 +10,7 @@
 )
 
 
-def failure_of_decision(decision: ClaimDecision) -> Failure | None:
+def failure_from_decision(decision: ClaimDecision) -> Failure | None:
     """Return the failure for a decision, or None if the claim is accepted."""
     if decision is ClaimDecision.CLAIMED:
         return None
--- a/chestnuthall/core/claims/_machine.py
+++ b/chestnuthall/core/claims/_machine.py
@@ -29,7 +29,7 @@
     WriteSucceeded,
     WriteUnresolved,
 )
-from chestnuthall.core.claims._failures import failure_of_decision
+from chestnuthall.core.claims._failures import failure_from_decision
 from chestnuthall.core.claims._ledger import (
     ClaimDecision,
     KeyClaim,
@@ -94,6 +94,8 @@
         self.written_partition: LedgerPartition | None = None
         # Tokens of lost writes, which may still take effect.
         self.unresolved: set[str] = set()
+        # Version on which the last lost write was conditional, while it may still take
+        # effect.
         self.lost_version: int | None = None
         # Lowest possible current version; a read of an older version is stale.
         self.min_version = 0
@@ -101,9 +103,9 @@
         # refused by its result, because a key may be abandoned between two reads.
         self.tokens_at_read: frozenset[str] = frozenset()
         self.needs_read = False
-        # Whether a turn was granted before the read in progress, so that the write
-        # follows without waiting for another turn.
-        self.has_turn = False
+        # Whether a write slot was granted before the read in progress, so that the
+        # write follows without waiting for another slot.
+        self.has_write_slot = False
         self.read_wall_ms = 0.0
         self.is_cache_trusted = True
         self.n_confirming_reads = 0
@@ -140,7 +142,7 @@
         """Become idle until the next request; nothing is retried before it."""
         self.phase = Phase.IDLE
         self.n_retries = 0
-        self.has_turn = False
+        self.has_write_slot = False
         return []
 
     def start_read(self) -> list[ClaimAction]:
@@ -239,14 +241,14 @@
         claims.cached = None
         return claims.retry(claims.backoff_ms())
     _record_read(event, claims)
-    settled = _settle_held(event.partition, claims)
+    completed = _complete_held(event.partition, claims)
     if claims.lost_version is None:
         claims.unresolved.clear()
         _drop_absent_abandoned(event.partition, claims)
     refused = _refuse_from_read(event, claims)
-    if claims.has_turn and claims.has_work:
-        return [*settled, *refused, *_write(event.wall_ms, claims)]
-    return [*settled, *refused, *claims.advance()]
+    if claims.has_write_slot and claims.has_work:
+        return [*completed, *refused, *_write(event.wall_ms, claims)]
+    return [*completed, *refused, *claims.advance()]
 
 
 def _record_read(event: PartitionRead, claims: PartitionClaimMachine) -> None:
@@ -264,7 +266,7 @@
         claims.lost_version = None
 
 
-def _settle_held(
+def _complete_held(
     partition: LedgerPartition, claims: PartitionClaimMachine
 ) -> list[ClaimAction]:
     held = [item for item in claims.waiting.values() if partition.is_held_by(item)]
@@ -291,7 +293,7 @@
     decisions = add_claims(base, group, claims.settings, event.wall_ms)[1]
     refused: list[ClaimAction] = []
     for claim in group:
-        failure = failure_of_decision(decisions[claim.token])
+        failure = failure_from_decision(decisions[claim.token])
         if failure is not None and claim.token in claims.tokens_at_read:
             refused.append(claims.refuse(claim, failure))
     return refused
@@ -321,7 +323,7 @@
     age_ms = event.wall_ms - claims.read_wall_ms
     if not claims.is_cache_trusted and age_ms > READ_AGE_MAX_MS:
         # Another writer has probably changed the version during the wait.
-        claims.has_turn = True
+        claims.has_write_slot = True
         return claims.start_read()
     return _write(event.wall_ms, claims)
 
@@ -329,7 +331,7 @@
 def _write(wall_ms: float, claims: PartitionClaimMachine) -> list[ClaimAction]:
     """Write all claims that can be accepted, conditional on the cached version."""
     assert claims.cached is not None
-    claims.has_turn = False
+    claims.has_write_slot = False
     version, partition = claims.cached
     base = remove_claims(partition, claims.abandoned.values())
     group = _next_write_group(claims)
@@ -359,12 +361,12 @@
     claims.unresolved.clear()
     claims.n_retries = 0
     claims.n_rate_limited_writes = 0
-    settled = [CompleteClaim(token, None) for token in claims.writing]
+    completed = [CompleteClaim(token, None) for token in claims.writing]
     claims.writing = {}
     for token in claims.written_abandoned:
         claims.abandoned.pop(token, None)
     claims.written_abandoned = ()
-    return [*settled, *claims.advance()]
+    return [*completed, *claims.advance()]
 
 
 @_apply.register
--- a/chestnuthall/core/claims/_pacing.py
+++ b/chestnuthall/core/claims/_pacing.py
@@ -9,8 +9,8 @@
 
     Examples
     --------
-    >>> budget = WriteRateLimiter(n_burst=1)
-    >>> [budget.reserve(0.0, 10.0) for _ in range(3)]
+    >>> limiter = WriteRateLimiter(n_burst=1)
+    >>> [limiter.reserve(0.0, 10.0) for _ in range(3)]
     [0.0, 100.0, 200.0]
     """
 
--- a/chestnuthall/core/claims/tests/test_machine.py
+++ b/chestnuthall/core/claims/tests/test_machine.py
@@ -34,8 +34,8 @@
     "read-a": core.PartitionRead(WALL_MS, 1, PARTITION_WITH_A),
     "read-both": core.PartitionRead(WALL_MS, 1, PARTITION_WITH_OTHERS),
     "read-failed": core.ReadFailed(WALL_MS, STORE_FAILURE),
-    "turn": core.WriteSlotGranted(WALL_MS),
-    "late-turn": core.WriteSlotGranted(WALL_MS + 50.0),
+    "slot": core.WriteSlotGranted(WALL_MS),
+    "late-slot": core.WriteSlotGranted(WALL_MS + 50.0),
     "written": core.WriteSucceeded(WALL_MS, 1),
     "conflict": core.WriteConflicted(WALL_MS, 0.5),
     "lost": core.WriteUnresolved(WALL_MS),
@@ -59,7 +59,7 @@
     return names
 
 
-WRITE = "request read-empty turn"
+WRITE = "request read-empty slot"
 CLAIM = f"{WRITE} written"
 CASES = {
     "claim": (CLAIM, ["HELD"]),
@@ -67,17 +67,17 @@
     "no-cache-after-conflict": (f"{WRITE} conflict", ["ReadPartition"]),
     "batched-into-next-write": (f"{WRITE} request-b", []),
     "lost-write-took-effect": (f"{WRITE} lost read-a", ["HELD"]),
-    "lost-write-not-applied-yet": (f"{WRITE} lost read-empty turn", ["write 0: key-a"]),
+    "lost-write-not-applied-yet": (f"{WRITE} lost read-empty slot", ["write 0: key-a"]),
     "lost-then-store-unavailable": (f"{WRITE} lost read-failed", ["CLAIM_UNSETTLED"]),
     "write-failed-store-unavailable": (f"{WRITE} refused", ["STORE_UNAVAILABLE"]),
     "withdrawn-before-write": ("request read-empty withdraw", ["DEADLINE_PASSED"]),
     "withdrawn-after-lost-write": (f"{WRITE} lost withdraw", ["CLAIM_UNSETTLED"]),
     "withdrawn-after-loss-is-not-written": (
-        f"{WRITE} lost withdraw read-empty turn",
+        f"{WRITE} lost withdraw read-empty slot",
         ["write 0: "],
     ),
-    "same-key-waits": ("request request-again read-empty turn", ["write 0: key-a"]),
-    "same-key-refused": (f"{CLAIM} request-again turn read-a", ["KEY_ALREADY_CLAIMED"]),
+    "same-key-waits": ("request request-again read-empty slot", ["write 0: key-a"]),
+    "same-key-refused": (f"{CLAIM} request-again slot read-a", ["KEY_ALREADY_CLAIMED"]),
     "read-refuses-claims-from-before-it": (
         "request request-b read-both",
         ["KEY_ALREADY_CLAIMED", "AwaitWriteSlot"],
@@ -87,25 +87,25 @@
         ["ReadPartition"],
     ),
     "contended-read-again": (
-        f"{WRITE} conflict read-empty late-turn",
+        f"{WRITE} conflict read-empty late-slot",
         ["ReadPartition"],
     ),
     "refusal-from-cache-reads-first": (
-        f"{CLAIM} request-again turn",
+        f"{CLAIM} request-again slot",
         ["ReadPartition"],
     ),
-    "abandon-then-claim": (f"{CLAIM} abandon request-again turn", ["write 1: key-a"]),
-    "abandon-of-another-attempt": (f"{CLAIM} abandon-other turn", []),
+    "abandon-then-claim": (f"{CLAIM} abandon request-again slot", ["write 1: key-a"]),
+    "abandon-of-another-attempt": (f"{CLAIM} abandon-other slot", []),
     "older-read-is-stale": (
-        f"{CLAIM} request-again turn read-empty",
+        f"{CLAIM} request-again slot read-empty",
         ["ReadPartition"],
     ),
     "rate-limited-waits": (f"{WRITE} limited", ["Delay"]),
     "rate-limited-too-often": (
-        WRITE + " limited delay-ended turn" * 3 + " limited",
+        WRITE + " limited delay-ended slot" * 3 + " limited",
         ["RATE_LIMITED"],
     ),
-    "second-lost-write-waits": (f"{WRITE} lost read-empty turn lost", ["Delay"]),
+    "second-lost-write-waits": (f"{WRITE} lost read-empty slot lost", ["Delay"]),
 }
 
 
