--- a/chestnuthall/core/configuration/_follower.py
+++ b/chestnuthall/core/configuration/_follower.py
@@ -125,7 +125,7 @@
         self.watch_timeout_ms = watch_timeout_ms
         self.version: int | None = None
         self.watch_started_ms = 0.0
-        self.last_load_ms = float("-inf")
+        self.last_read_ms = float("-inf")
         self.n_failures = 0
 
     def handle(self, event: FollowerEvent) -> FollowerAction:
@@ -152,7 +152,7 @@
 @_apply.register
 def _(event: ObjectRead, follower: ObjectFollower) -> FollowerAction:
     follower.version = event.version
-    follower.last_load_ms = event.now_ms
+    follower.last_read_ms = event.now_ms
     # Whether the instance is a watcher is known when the delay ends.
     return Delay(0.0)
 
@@ -194,7 +194,7 @@
     # repeated at once.
     due_ms = max(
         event.confirmed_ms + CONFIRMATION_AGE_MAX_MS,
-        follower.last_load_ms + DELAY_MAX_MS,
+        follower.last_read_ms + DELAY_MAX_MS,
     )
     if event.now_ms < due_ms:
         return Delay(max(due_ms - event.now_ms, DELAY_MIN_MS))
--- a/chestnuthall/core/configuration/_leaders.py
+++ b/chestnuthall/core/configuration/_leaders.py
@@ -1,4 +1,4 @@
-"""Choice of the instance of a zone that another one follows instead of the store."""
+"""Choice of the leader that an instance follows instead of the store."""
 
 from collections.abc import Collection
 from dataclasses import dataclass, field
@@ -86,8 +86,7 @@
         self.is_zone_large_enough = True
         n_candidates = min(self.position, N_LEADERS_MAX)
         if now_ms < self._store_deprioritised_until_ms:
-            # An instance that the store does not serve may follow a later instance that
-            # the store does serve.
+            # An instance that cannot reach the store may follow a later one that can.
             n_candidates = N_LEADERS_MAX
         for name in ordered[:n_candidates]:
             is_other = name != self.own_name
--- a/chestnuthall/core/configuration/_promotion.py
+++ b/chestnuthall/core/configuration/_promotion.py
@@ -56,7 +56,7 @@
 
     @property
     def in_force_ms(self) -> float:
-        """Time for which every proving instance has had the document in force."""
+        """Time for which all ``instances_in_force`` have had the document in force."""
         since = [item.since_wall_ms for item in self.instances_in_force]
         return max(0.0, self.gathered_wall_ms - max(since)) if since else 0.0
 
--- a/chestnuthall/core/configuration/tests/test_leaders.py
+++ b/chestnuthall/core/configuration/tests/test_leaders.py
@@ -27,7 +27,7 @@
     ("second follows the first", SECOND, (), NAMES, FIRST),
     ("last follows the first", REST[-1], (), NAMES, FIRST),
     ("first failed", REST[-1], (FIRST,), NAMES, SECOND),
-    ("first failed, second chooses", SECOND, (FIRST,), NAMES, None),
+    ("first failed, second follows none", SECOND, (FIRST,), NAMES, None),
     ("two failed", REST[-1], (FIRST, SECOND), NAMES, THIRD),
     ("all leaders failed", REST[-1], (FIRST, SECOND, THIRD), NAMES, None),
     ("small zone", SECOND, (), [FIRST, SECOND, THIRD], None),
--- a/chestnuthall/core/configuration/tests/test_records.py
+++ b/chestnuthall/core/configuration/tests/test_records.py
@@ -50,8 +50,8 @@
 
 
 BASE = StoredRevision(make_record(1), 7)
-# (case, base, found, tokens in the history, settlement)
-SETTLEMENTS = [
+# (case, base, found, tokens in the history, outcome)
+WRITE_OUTCOMES = [
     ("own token", BASE, StoredRevision(make_record(2), 8), [], WriteOutcome.ACCEPTED),
     ("unchanged", BASE, BASE, [1], WriteOutcome.RETRY),
     ("no object yet", None, None, [], WriteOutcome.RETRY),
@@ -82,8 +82,8 @@
 
 @pytest.mark.parametrize(
     ("base", "found", "tokens", "write_outcome"),
-    [case[1:] for case in SETTLEMENTS],
-    ids=[case[0] for case in SETTLEMENTS],
+    [case[1:] for case in WRITE_OUTCOMES],
+    ids=[case[0] for case in WRITE_OUTCOMES],
 )
 def test_write_outcome(base, found, tokens, write_outcome):
     """A write that took effect must not be reported as lost, nor the reverse."""
