--- a/chestnuthall/core/drains/_registry.py
+++ b/chestnuthall/core/drains/_registry.py
@@ -205,9 +205,9 @@
         chosen = nsmallest(settings.n_notices_max, pending)
         for _, name in chosen:
             self._records[name].n_sent += 1
-        return tuple(self._notice(name, now_ms) for _, name in chosen)
+        return tuple(self._make_notice(name, now_ms) for _, name in chosen)
 
-    def _notice(self, name: str, now_ms: float) -> Notice:
+    def _make_notice(self, name: str, now_ms: float) -> Notice:
         record = self._records[name]
         return Notice(
             name,
@@ -220,7 +220,7 @@
     def active_drains(self, now_ms: float) -> tuple[Notice, ...]:
         """Return the notices of the drains that are active now."""
         return tuple(
-            self._notice(name, now_ms)
+            self._make_notice(name, now_ms)
             for name, record in self._records.items()
             if not self._is_inactive(record, now_ms)
         )
--- a/chestnuthall/core/drains/tests/test_registry.py
+++ b/chestnuthall/core/drains/tests/test_registry.py
@@ -36,8 +36,8 @@
 replicas = st.sampled_from(REPLICAS)
 
 
-class DrainNewsMachine(RuleBasedStateMachine):
-    """Instances that signal, come back and exchange in any order, with delays."""
+class DrainNoticeMachine(RuleBasedStateMachine):
+    """Instances that detect drains and their ends and exchange delayed notices."""
 
     @initialize()
     def start(self):
@@ -55,7 +55,7 @@
         self.last_signal_ms[name] = self.now_ms
 
     @rule(index=instances, name=replicas, signal=st.sampled_from([HEALTH, LIST]))
-    def come_back(self, index, name, signal):
+    def end_drain(self, index, name, signal):
         self.registries[index].handle(
             DrainEndDetected(self.now_ms, 1e12, name, signal, self.now_ms)
         )
@@ -89,7 +89,7 @@
 
     def teardown(self):
         """After two rounds of exchanges all instances must agree."""
-        if not hasattr(self, "registers"):
+        if not hasattr(self, "registries"):
             return
         for _ in range(2):
             for one in self.registries:
@@ -105,17 +105,17 @@
             }
             for registry in self.registries
         ]
-        held = [
+        active = [
             {notice.replica_name for notice in registry.active_drains(self.now_ms)}
             for registry in self.registries
         ]
-        assert set().union(*views) <= set.intersection(*held)
+        assert set().union(*views) <= set.intersection(*active)
 
 
-DrainNewsMachine.TestCase.settings = settings(
+DrainNoticeMachine.TestCase.settings = settings(
     max_examples=150, stateful_step_count=40, derandomize=True, deadline=None
 )
-TestDrainNewsMachine = DrainNewsMachine.TestCase
+TestDrainNoticeMachine = DrainNoticeMachine.TestCase
 
 
 @pytest.mark.parametrize(
