--- a/chestnuthall/core/admission/__init__.py
+++ b/chestnuthall/core/admission/__init__.py
@@ -45,7 +45,7 @@
     "ReleaseCalls",
     "UsageLedger",
     "UsageReport",
-    "Withdraw",
     "WakeUpDue",
+    "Withdraw",
     "demand_fraction",
 ]
--- a/chestnuthall/core/drains/__init__.py
+++ b/chestnuthall/core/drains/__init__.py
@@ -15,8 +15,10 @@
 from chestnuthall.core.drains._registry import DrainRegistry, DrainSettings
 
 __all__ = [
-    "DrainEndDetected",
+    "DisseminateNotices",
     "DrainAction",
+    "DrainDetected",
+    "DrainEndDetected",
     "DrainEvent",
     "DrainRegistry",
     "DrainSettings",
@@ -24,7 +26,5 @@
     "Notice",
     "NoticesReceived",
     "ResumeCalls",
-    "DrainDetected",
-    "DisseminateNotices",
     "StopCalls",
 ]
--- a/chestnuthall/core/model/__init__.py
+++ b/chestnuthall/core/model/__init__.py
@@ -96,6 +96,6 @@
     "UpstreamGroup",
     "WeightedRoundRobin",
     "is_idempotent",
-    "request_kind",
     "reachable_ratio",
+    "request_kind",
 ]
--- a/chestnuthall/core/results/__init__.py
+++ b/chestnuthall/core/results/__init__.py
@@ -48,7 +48,6 @@
 )
 
 __all__ = [
-    "REPLICA_REPLACED",
     "ANSWER_CUT",
     "BAD_HTTP",
     "BODY_TOO_LARGE",
@@ -63,6 +62,8 @@
     "DEADLINE_PASSED",
     "DEADLINE_UNREACHABLE",
     "FAILURE_KINDS",
+    "Failure",
+    "FailureKind",
     "HISTORY_TRIMMED",
     "INTERNAL_ERROR",
     "INVALID_REQUEST",
@@ -78,6 +79,10 @@
     "QUARANTINED",
     "QUEUE_FULL",
     "RATE_LIMITED",
+    "REPLICA_REPLACED",
+    "ResultCode",
+    "RetryAdvice",
+    "RunState",
     "SHED_BY_UPSTREAM",
     "SHUTTING_DOWN",
     "SNAPSHOT_GONE",
@@ -86,10 +91,5 @@
     "UNKNOWN_CLASS",
     "UNKNOWN_GROUP",
     "UPSTREAM_ERROR",
-    "Failure",
-    "FailureKind",
-    "RetryAdvice",
-    "ResultCode",
-    "RunState",
     "failure_kind_from_code",
 ]
--- a/chestnuthall/core/routing/__init__.py
+++ b/chestnuthall/core/routing/__init__.py
@@ -37,17 +37,17 @@
 )
 
 __all__ = [
-    "N_INSTANCES_ASSUMED",
     "ConnectionBudget",
     "ExtraLoad",
     "ExtraLoadBudget",
     "HashRing",
     "LatencyWindow",
-    "ServiceExtraLoadBudget",
-    "ServiceExtraLoadLimits",
+    "N_INSTANCES_ASSUMED",
     "ReplicaState",
     "Router",
     "RouterSettings",
+    "ServiceExtraLoadBudget",
+    "ServiceExtraLoadLimits",
     "SnapshotCatalog",
     "UtilisationAverage",
     "assign_shards",
