--- a/chestnuthall/core/fanout/_events.py
+++ b/chestnuthall/core/fanout/_events.py
@@ -110,9 +110,8 @@
     """Outcome of a fan-out; ``failure`` is None on success.
 
     ``run_state`` states whether any replica ran the request. ``reply`` is the reply
-    to the caller of a relayed request, and ``shard_replies`` are the shard replies from
-    which it was merged. ``decisions`` lists the decisions that led to the
-    outcome, in chronological order.
+    to the caller of a relayed request, merged from ``shard_replies``. ``decisions``
+    lists the decisions that led to the outcome, in chronological order.
     """
 
     failure: Failure | None
--- a/chestnuthall/core/fanout/_handlers.py
+++ b/chestnuthall/core/fanout/_handlers.py
@@ -52,7 +52,7 @@
 @apply_event.register
 def _(event: QueryStarted, state: FanOutState) -> list[Action]:
     # The probe of a suspected request is one call to one replica, so its shards
-    # must not be bundled into sets.
+    # must not be combined into sets.
     may_combine = not state.is_suspected(event.now_ms)
     state.plan(state.partition_map, may_combine)
     context = state.context
@@ -333,7 +333,7 @@
 
 @apply_event.register
 def _(event: PeersNotified, state: FanOutState) -> list[Action]:
-    return probes.on_warned(state, event.now_ms)
+    return probes.on_peers_notified(state, event.now_ms)
 
 
 @apply_event.register
--- a/chestnuthall/core/fanout/_hedges.py
+++ b/chestnuthall/core/fanout/_hedges.py
@@ -50,7 +50,7 @@
     if soft_ms is None or not call_type:
         return HedgeTiming(delay_ms, 0.0, float("inf"))
     min_age_ms = MIN_AGE_FACTOR * router.typical_ms(call_type)
-    # A second call gets as much time to answer as the first one got at least.
+    # A hedge started by then has at least ``min_age_ms`` before the soft deadline.
     latest_ms = state.request.arrived_ms + soft_ms - min_age_ms
     return HedgeTiming(delay_ms, min_age_ms, latest_ms)
 
--- a/chestnuthall/core/fanout/_merge.py
+++ b/chestnuthall/core/fanout/_merge.py
@@ -75,8 +75,8 @@
     >>> merge_records([b"aacc", b"bbddx"], 3, 2)
     b'ddccbb'
     """
-    # iter_unpack avoids a Python-level slice per record, which took as long as
-    # ten calls of a search.
+    # iter_unpack avoids a Python-level slice per record. The slices of one search
+    # took as long as ten of its calls.
     complete_records = b"".join(
         body[: len(body) - len(body) % n_record_bytes] for body in bodies
     )
--- a/chestnuthall/core/fanout/_probes.py
+++ b/chestnuthall/core/fanout/_probes.py
@@ -46,7 +46,7 @@
     return [NotifyPeers(request.fingerprint)]
 
 
-def on_warned(state: FanOutState, now_ms: float) -> list[Action]:
+def on_peers_notified(state: FanOutState, now_ms: float) -> list[Action]:
     """Start the probe once the peers were notified of the suspicion."""
     state.probe_step = ProbeStep.NONE
     if state.is_quarantined(now_ms) or not state.is_suspected(now_ms):
--- a/chestnuthall/core/fanout/_state.py
+++ b/chestnuthall/core/fanout/_state.py
@@ -40,7 +40,8 @@
 
 N_ATTEMPTS_MAX = 4
 N_REPLANS_MAX = 2
-# Peers that are offered a shard set before this instance calls its members itself.
+# Number of peers that are offered a shard set before this instance calls its
+# members itself.
 N_PEER_ATTEMPTS_MAX = 2
 # Reason recorded for a call that probes a suspected request.
 PROBE_REASON = "probe"
--- a/chestnuthall/core/fanout/tests/test_partial.py
+++ b/chestnuthall/core/fanout/tests/test_partial.py
@@ -1,6 +1,7 @@
 """Tests of the merging of partial answers.
 
-Guards against hits or coverage that differ from a fan-out by one instance.
+Guards against hits or coverage that differ from those of a fan-out by a single
+instance.
 """
 
 import pytest
--- a/chestnuthall/core/fanout/tests/test_shard_sets.py
+++ b/chestnuthall/core/fanout/tests/test_shard_sets.py
@@ -144,13 +144,13 @@
 
 
 class RecordingBudget:
-    """Record the shards whose first calls were counted."""
+    """Extra-load budget that records the shards whose first calls were counted."""
 
     def __init__(self):
-        self.earned = []
+        self.recorded_shard_ids = []
 
     def record_calls(self, shard_ids, utilisation_ratio, now_ms):
-        self.earned += shard_ids
+        self.recorded_shard_ids += shard_ids
 
     def try_acquire_retry(self, shard_id, now_ms, may_overdraw=False):
         return True
@@ -166,11 +166,11 @@
     fan_out.context = replace(fan_out.context, budget=budget)
     call, _ = begin(fan_out)
     singles = [f"s{i}" for i in range(N_MEMBERS, N_SHARDS)]
-    assert budget.earned == singles
+    assert budget.recorded_shard_ids == singles
     refused = CONNECTION_REFUSED.with_reason("test")
     (second,) = calls_of(fan_out.handle(CallFailed(1.0, call.call_id, refused)))
     fan_out.handle(CallFailed(2.0, second.call_id, refused))
-    assert budget.earned == [*singles, "s0", "s1", "s2"]
+    assert budget.recorded_shard_ids == [*singles, "s0", "s1", "s2"]
 
 
 def test_set_is_not_hedged():
