--- a/chestnuthall/core/membership/_dissemination.py
+++ b/chestnuthall/core/membership/_dissemination.py
@@ -20,7 +20,7 @@
         """Stop the dissemination of an instance's record."""
         self._n_sent.pop(name, None)
 
-    def take(self, n_max: int, n_transmissions: int) -> list[str]:
+    def select_names(self, n_max: int, n_transmissions: int) -> list[str]:
         """Return up to ``n_max`` names to send and count one transmission of each.
 
         A name is removed after ``n_transmissions`` transmissions.
--- a/chestnuthall/core/membership/_events.py
+++ b/chestnuthall/core/membership/_events.py
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IndirectProbe(MembershipAction):
-    """Ask a helper to probe a target and report the outcome."""
+    """Have a helper probe a target, and report the outcome."""
 
     probe_id: int
     helper_address: str
--- a/chestnuthall/core/membership/_machine.py
+++ b/chestnuthall/core/membership/_machine.py
@@ -277,10 +277,10 @@
         elif member.record.state is MemberState.ALIVE:
             self._disseminate(self._set_state(member, MemberState.SUSPECT, now_ms))
 
-    # Time
+    # Isolation and suspicion
 
     def _is_isolated(self, now_ms: float) -> bool:
-        """Return whether this instance is probably cut off from the fleet.
+        """Return whether this instance is probably isolated from the fleet.
 
         That is assumed after ``isolation_ms`` without contact with any peer.
         """
@@ -391,7 +391,7 @@
         is always included, so that the recipient can refute it at once.
         """
         settings = self._settings
-        names = self._dissemination.take(
+        names = self._dissemination.select_names(
             settings.n_updates_max, settings.n_transmissions(self._counts.n_live)
         )
         chosen = dict.fromkeys(names)
--- a/chestnuthall/core/membership/_records.py
+++ b/chestnuthall/core/membership/_records.py
@@ -67,7 +67,7 @@
 
     ``n_joining`` counts instances that the platform lists and that have not
     answered yet. ``n_unreachable`` counts dead instances that the platform
-    still lists: they may be cut off from this instance only, and may still use
+    still lists: they may be unreachable from this instance only, and may still use
     their connections.
     """
 
