--- a/chestnuthall/core/registry/tests/test_registry.py
+++ b/chestnuthall/core/registry/tests/test_registry.py
@@ -34,7 +34,7 @@
 MISSING, RESTORED = ReplicaChangeKind.MISSING, ReplicaChangeKind.RESTORED
 # (case, steps, kinds of change, names of the replicas in use, time of the check)
 CASES = [
-    ("seen", [(0, "put", entry("a"))], [ADDED], {"a"}, 0),
+    ("added", [(0, "put", entry("a"))], [ADDED], {"a"}, 0),
     (
         "registered twice",
         [(0, "put", entry("a")), (1, "put", entry("a"))],
