--- a/chestnuthall/core/routing/_catalog.py
+++ b/chestnuthall/core/routing/_catalog.py
@@ -6,7 +6,7 @@
 
 N_SNAPSHOTS_KEPT = 3
 
-HoldsSnapshot = Callable[[Replica, int], bool]
+ServesSnapshot = Callable[[Replica, int], bool]
 
 
 class SnapshotCatalog:
@@ -42,7 +42,7 @@
         return tuple(self._maps[key] for key in sorted(self._maps, reverse=True))
 
     def choose(
-        self, holds_snapshot: HoldsSnapshot, excluded: Iterable[int] = ()
+        self, serves_snapshot: ServesSnapshot, excluded: Iterable[int] = ()
     ) -> PartitionMap | None:
         """Return the map that a new query pins.
 
@@ -56,7 +56,7 @@
         for partition_map in self.maps():
             if partition_map.snapshot_id in skipped:
                 continue
-            ratio = _reachable_ratio(partition_map, holds_snapshot)
+            ratio = _reachable_ratio(partition_map, serves_snapshot)
             if ratio >= 1.0:
                 return partition_map
             if ratio > best_ratio:
@@ -65,7 +65,7 @@
 
 
 def _reachable_ratio(
-    partition_map: PartitionMap, holds_snapshot: HoldsSnapshot
+    partition_map: PartitionMap, serves_snapshot: ServesSnapshot
 ) -> float:
     total = partition_map.n_documents
     if total == 0:
@@ -74,12 +74,12 @@
     reachable = sum(
         shard.n_documents
         for shard in partition_map.shards
-        if _is_reachable(shard, snapshot_id, holds_snapshot)
+        if _is_reachable(shard, snapshot_id, serves_snapshot)
     )
     return reachable / total
 
 
 def _is_reachable(
-    shard: Shard, snapshot_id: int, holds_snapshot: HoldsSnapshot
+    shard: Shard, snapshot_id: int, serves_snapshot: ServesSnapshot
 ) -> bool:
-    return any(holds_snapshot(replica, snapshot_id) for replica in shard.replicas)
+    return any(serves_snapshot(replica, snapshot_id) for replica in shard.replicas)
--- a/chestnuthall/core/routing/_replicas.py
+++ b/chestnuthall/core/routing/_replicas.py
@@ -10,8 +10,8 @@
 # replica that is not called provides no samples, and without the decay a few slow
 # seconds would keep calls away from it for long.
 EXCESS_DECAY_MS = 1_000.0
-# How long a report that a replica lacks a snapshot keeps calls for it away. Without
-# calls the replica cannot report that it has loaded the snapshot since.
+# How long a replica that lacks a snapshot gets no calls for it. Without any calls it
+# could not report that it has loaded the snapshot since.
 MISSING_SNAPSHOT_TRUSTED_MS = 2_000.0
 
 
@@ -19,7 +19,8 @@
 class InFlight:
     """A call in flight.
 
-    ``scale`` is the ratio of its typical latency to that of the reference work.
+    ``scale`` is the ratio of the typical latency of its kind of call to the
+    reference latency; see ``Router``.
     """
 
     started_ms: float
@@ -32,7 +33,7 @@
 
     ``held_snapshots`` is None until the replica has reported them. ``in_flight``
     are the calls that have not ended, oldest first. Latencies are scaled to the
-    reference work; see ``Router``.
+    reference kind of call; see ``Router``.
     """
 
     name: str
@@ -43,7 +44,7 @@
     held_reported_ms: float = float("-inf")
     missing_snapshots: dict[int, float] = field(default_factory=dict)
     drained_until_ms: float = float("-inf")
-    ejected_until_ms: float = float("-inf")
+    penalised_until_ms: float = float("-inf")
     ramp_started_ms: float = float("-inf")
     n_failures_in_row: int = 0
 
@@ -94,7 +95,9 @@
         reported_ms = self.missing_snapshots.get(snapshot_id, self.held_reported_ms)
         return now_ms - reported_ms > MISSING_SNAPSHOT_TRUSTED_MS
 
-    def note_held(self, snapshot_ids: tuple[int, ...], now_ms: float) -> None:
+    def record_held_snapshots(
+        self, snapshot_ids: tuple[int, ...], now_ms: float
+    ) -> None:
         """Record the snapshots that the replica reported."""
         self.held_snapshots = frozenset(snapshot_ids)
         self.held_reported_ms = now_ms
@@ -114,6 +117,6 @@
         """Return whether the replica is draining and gets no new calls."""
         return now_ms < self.drained_until_ms
 
-    def is_ejected(self, now_ms: float) -> bool:
-        """Return whether the replica failed recently and is penalised or ejected."""
-        return now_ms < self.ejected_until_ms
+    def is_penalised(self, now_ms: float) -> bool:
+        """Return whether the replica is penalised because it failed recently."""
+        return now_ms < self.penalised_until_ms
--- a/chestnuthall/core/routing/_router.py
+++ b/chestnuthall/core/routing/_router.py
@@ -24,7 +24,7 @@
 # Samples needed for a hedge delay. With fewer, a quantile of 0.95 is not resolved
 # and ordinary calls would be hedged.
 N_QUANTILE_SAMPLES_MIN = 20
-# Kinds of work whose latencies are kept. The oldest one is removed first, since a new
+# Kinds of call whose latencies are kept. The oldest one is removed first, since a new
 # configuration replaces the kinds.
 N_LATENCY_WINDOWS_MAX = 64
 
@@ -44,10 +44,10 @@
     slow_ratio: float = 2.0
     hedge_delay_min_ms: float = 2.0
     hedge_delay_unknown_ms: float = 50.0
-    ejection_base_ms: float = 200.0
-    # The longest delay is short: a call to an unavailable replica costs only a
+    penalty_base_ms: float = 200.0
+    # The longest penalty is short: a call to an unavailable replica costs only a
     # refused connection, and a recovered one is needed immediately.
-    ejection_max_ms: float = 2_000.0
+    penalty_max_ms: float = 2_000.0
     failure_cost_ms: float = 50.0
     ejected_ratio_max: float = 1.0 / 3.0
     ramp_ms: float = 2_000.0
@@ -62,7 +62,7 @@
     kind, ``call_type``. Each kind has its own latency window, and the latency of a
     replica is scaled by the typical one of the kind, so that a replica found to be
     slow by one kind of call is known to be slow for the others. The empty name is
-    the reference work.
+    the reference kind.
     """
 
     def __init__(self, settings: RouterSettings, random: Random) -> None:
@@ -157,18 +157,18 @@
         first, so that misleading failures do not put the whole load of the shard on
         one replica.
         """
-        ejected = [
+        penalised = [
             self.state_of(replica.name)
             for replica in shard.replicas
-            if self.state_of(replica.name).is_ejected(now_ms)
+            if self.state_of(replica.name).is_penalised(now_ms)
         ]
-        if not ejected:
+        if not penalised:
             return frozenset()
         n_ejected_max = int(
             len(shard.replicas) * self._settings.ejected_ratio_max + 1e-9
         )
-        ejected.sort(key=lambda state: -state.n_failures_in_row)
-        return frozenset(state.name for state in ejected[:n_ejected_max])
+        penalised.sort(key=lambda state: -state.n_failures_in_row)
+        return frozenset(state.name for state in penalised[:n_ejected_max])
 
     def _expected_ms(
         self, replica: Replica, now_ms: float, scale: float, reference_ms: float
@@ -182,7 +182,7 @@
         if replica.zone != settings.zone:
             penalty_ms = settings.other_zone_cost_ms
             latency_ms *= settings.other_zone_factor
-        if state.is_ejected(now_ms):
+        if state.is_penalised(now_ms):
             penalty_ms += settings.failure_cost_ms * state.n_failures_in_row
         # Jitter keeps instances with equal statistics from choosing the same replica.
         jitter = self._random.uniform(0.9, 1.1)
@@ -192,7 +192,7 @@
         )
 
     def _reference_ms(self) -> float:
-        """Return the typical latency of the reference work."""
+        """Return the typical latency of the reference kind of call."""
         if "" in self._latencies:
             return self.typical_ms("")
         return self._settings.unknown_latency_ms
@@ -254,12 +254,12 @@
         if state.n_failures_in_row >= N_FAILURES_BEFORE_RAMP:
             state.ramp_started_ms = now_ms
         state.n_failures_in_row = 0
-        state.ejected_until_ms = float("-inf")
+        state.penalised_until_ms = float("-inf")
         if not self._is_slow(state):
             self._window(call_type).add(now_ms - started_ms)
         state.observe_latency((now_ms - started_ms) / scale, now_ms)
         if answer.held_snapshots:
-            state.note_held(answer.held_snapshots, now_ms)
+            state.record_held_snapshots(answer.held_snapshots, now_ms)
         if answer.is_draining:
             self.drain(replica.name, now_ms)
 
@@ -292,7 +292,7 @@
         if is_attributed_to_request or failure.kind is DEADLINE_PASSED:
             return
         state.n_failures_in_row += 1
-        state.ejected_until_ms = now_ms + self._avoidance_ms(state, failure)
+        state.penalised_until_ms = now_ms + self._penalty_duration_ms(state, failure)
 
     def _on_cancelled(
         self,
@@ -320,12 +320,12 @@
             return False
         return state.latency_ms > self._settings.slow_ratio * self._reference_ms()
 
-    def _avoidance_ms(self, state: ReplicaState, failure: Failure) -> float:
+    def _penalty_duration_ms(self, state: ReplicaState, failure: Failure) -> float:
         settings = self._settings
         if failure.kind is SHED_BY_UPSTREAM:
-            return settings.ejection_base_ms / 4
+            return settings.penalty_base_ms / 4
         exponent = min(state.n_failures_in_row - 1, 10)
-        return min(settings.ejection_max_ms, settings.ejection_base_ms * 2.0**exponent)
+        return min(settings.penalty_max_ms, settings.penalty_base_ms * 2.0**exponent)
 
     def drain(self, replica_name: str, now_ms: float) -> None:
         """Send no new calls to a replica until its drain notice expires."""
--- a/chestnuthall/core/routing/tests/test_routing.py
+++ b/chestnuthall/core/routing/tests/test_routing.py
@@ -195,20 +195,20 @@
 def test_connections_of_all_instances_stay_within_the_cap(seed, n_connections_max):
     """Instances that start and leave must not exhaust an upstream's connections."""
     random = Random(seed)
-    shares = {i: ConnectionBudget(0.0) for i in range(9)}
+    budgets = {i: ConnectionBudget(0.0) for i in range(9)}
     now_ms = 0.0
     for step in range(400):
         now_ms += 500.0
-        n_alive = len(shares)
-        for share in shares.values():
-            share.observe(n_alive, now_ms)
+        n_alive = len(budgets)
+        for budget in budgets.values():
+            budget.observe(n_alive, now_ms)
         # An instance of a rolling restart that the others don't know of yet.
         if step % 25 == 24 and n_alive < 12 and random.random() < 0.5:
-            shares[100 + step] = ConnectionBudget(now_ms)
+            budgets[100 + step] = ConnectionBudget(now_ms)
         elif step % 25 == 24 and n_alive > 6:
-            del shares[random.choice(list(shares))]
-        budgets = [share.n_connections(n_connections_max) for share in shares.values()]
-        assert sum(budgets) <= n_connections_max
+            del budgets[random.choice(list(budgets))]
+        n_each = [item.n_connections(n_connections_max) for item in budgets.values()]
+        assert sum(n_each) <= n_connections_max
 
 
 def test_replaced_replica_gets_no_calls_until_it_registers_again():
@@ -248,7 +248,7 @@
     assert chosen_names(router, shard, 6_000.0) == names
 
 
-def test_replica_slow_for_one_kind_of_work_is_avoided_by_others():
+def test_replica_slow_for_one_kind_of_call_is_avoided_by_others():
     router, shard, replicas = make_router()
     for i in range(40):
         for replica in replicas:
