--- a/chestnuthall/ports/_driving.py
+++ b/chestnuthall/ports/_driving.py
@@ -47,7 +47,7 @@
 
 
 class CallerServer(Protocol):
-    """Operations of the callers' listener for a graceful stop."""
+    """Operations of the server for callers that a graceful stop uses."""
 
     def announce_close(self) -> None:
         """Close each connection with its next response, which announces the close."""
@@ -58,9 +58,9 @@
         ...
 
     async def wait_closed(self, linger_ms: float) -> None:
-        """Wait for all running requests, then up to ``linger_ms`` for the rest.
+        """Wait until all running requests have ended.
 
-        The rest are unread responses and incomplete requests.
+        Then wait up to ``linger_ms`` for unread responses and incomplete requests.
         """
         ...
 
--- a/chestnuthall/ports/_shards.py
+++ b/chestnuthall/ports/_shards.py
@@ -59,7 +59,7 @@
 class DirectShardCaller(Protocol):
     """Starts a call without creating a task if it need not wait.
 
-    The listener is called once, unless the call is cancelled first.
+    ``on_result`` is called once, unless the call is cancelled first.
     """
 
     def start_call(self, call: ShardCall, on_result: CallCallback) -> CancelCall | None:
