--- a/chestnuthall/core/routing/_budget.py
+++ b/chestnuthall/core/routing/_budget.py
@@ -8,13 +8,14 @@
 # Credit that a class may accumulate, in calls. It bounds a burst of extra calls
 # after a period with few of them.
 N_CREDIT_CALLS_MAX = 10.0
-# By how much retries of lost calls may overdraw the credit, in calls. A retry saves
+# Amount by which retries of lost calls may overdraw the credit, in calls. A retry saves
 # coverage and a hedge only time, and the loss of a zone loses one call to each of
 # many shards at once.
 N_RETRIES_OVERDRAWN_MAX = 10.0
-# By how much hedges may overdraw the credit, in calls, and the ratio of the age of
-# the hedged call to the hedge delay from which on they may.
+# Amount by which hedges may overdraw the credit, in calls.
 N_HEDGES_OVERDRAWN_MAX = 5.0
+# Minimum age of a call whose hedge may overdraw the credit, as a multiple of the hedge
+# delay.
 OVERDRAW_LATENESS_RATIO = 1.2
 # Initial credit, before any call has added to it.
 N_CREDIT_CALLS_INITIAL = 1.0
--- a/chestnuthall/core/routing/_service_budget.py
+++ b/chestnuthall/core/routing/_service_budget.py
@@ -113,7 +113,7 @@
         window.discard_before(now_ms - self._limits.window_ms)
         return window
 
-    def forget_idle(self, now_ms: float) -> None:
+    def remove_idle(self, now_ms: float) -> None:
         """Remove the windows of services without recent requests or repeats."""
         for shard_id in tuple(self._windows):
             window = self._window(shard_id, now_ms)
