--- a/chestnuthall/core/admission/_capacity.py
+++ b/chestnuthall/core/admission/_capacity.py
@@ -3,9 +3,9 @@
 from dataclasses import dataclass, field
 from math import exp
 
-# Bounds of the accumulated credit for unused and overdrawn capacity, as time at
-# the full limit. The upper bound admits a burst of a few queries at low load; after
-# a step in load the credit is used up within about 100 ms.
+# Bounds of the credit for unused capacity and of the debt for overdrawn capacity, as
+# time at the full limit. The credit admits a burst of a few queries at low load; after
+# a step in load it is used up within about 100 ms.
 CREDIT_MAX_MS = 100.0
 DEBT_MAX_MS = 200.0
 # Capacity that the most urgent class may overdraw within its share, as time at the
