--- a/chestnuthall/platform/_frontend.py
+++ b/chestnuthall/platform/_frontend.py
@@ -106,7 +106,7 @@
 
 @singledispatch
 def encode(outcome: object) -> HttpResponse:
-    """Return the response to the caller; registered per type of outcome."""
+    """Return the response to the caller for one type of outcome."""
     raise TypeError(f"not an outcome: {type(outcome).__name__}")
 
 
--- a/chestnuthall/platform/_instance.py
+++ b/chestnuthall/platform/_instance.py
@@ -40,7 +40,7 @@
     RelayFrontend,
     respond_to_http_error,
 )
-from chestnuthall.platform._instances import read_instance, write_instance
+from chestnuthall.platform._instances import encode_instance, read_instance
 from chestnuthall.platform._peer_calls import PeerCodec, PeerFrontend
 from chestnuthall.platform._registrations import read_registration
 from chestnuthall.platform._relayed_calls import RelayCodec
@@ -89,7 +89,8 @@
 # arrive.
 REGISTRATION_UPDATE_MARGIN_MS = 800.0
 # The balancer checks readiness every second and removes an instance after two failed
-# checks. Until then new connections still arrive here, so kept ones stay open.
+# checks. Until then a caller that reconnects may arrive here again, so keep-alive
+# connections stay open.
 BALANCER_REMOVAL_MS = 2_200.0
 LEAVE_NOTICE_MS = 3_400.0
 # Reserved within the platform's grace time for the process to exit.
@@ -119,7 +120,7 @@
 
 
 def _router_settings(zone: str) -> RouterSettings:
-    """Return the settings of replica choice.
+    """Return the settings of replica selection.
 
     Traffic between zones is priced, so a replica in another zone is chosen only if
     it is four times faster. Objectives are a few times the usual latency, so hedges
@@ -223,7 +224,7 @@
             clock,
             self._extra_load_budget.set_n_instances,
             read_instance,
-            write_instance,
+            encode_instance,
         )
         self._connections = ConnectionBudgets(
             self._caller,
@@ -297,11 +298,11 @@
         return caller
 
     def is_ready(self) -> bool:
-        """Whether the balancer may send callers to this instance."""
+        """Return whether the balancer may send callers to this instance."""
         return self._can_serve() and not self.lifecycle.is_leaving
 
     def _can_serve(self) -> bool:
-        """Whether this instance can serve the routes of its configuration."""
+        """Return whether this instance can serve the routes of its configuration."""
         is_responsive = not self._overload.is_overloaded
         return (
             is_responsive
@@ -371,7 +372,7 @@
                 self._log_limit.report_dropped()
 
     async def _measure_loop_lag(self) -> None:
-        """Measure the event loop's lag, that is how late timers fire.
+        """Measure the lag of the event loop, which is how late its timers fire.
 
         While the lag shows an overload, this instance reports that it is not ready
         and closes callers' connections.
@@ -385,7 +386,7 @@
             self._update_connection_closing(lag_ms)
 
     def _update_connection_closing(self, lag_ms: float) -> None:
-        """Close callers' kept connections while this instance cannot serve.
+        """Close callers' keep-alive connections while this instance cannot serve.
 
         Callers then reconnect through the balancer, to another instance.
         """
--- a/chestnuthall/platform/_instances.py
+++ b/chestnuthall/platform/_instances.py
@@ -27,6 +27,6 @@
     return InstanceEntry(stored.name, entry.peer_address, entry.zone)
 
 
-def write_instance(entry: InstanceEntry) -> str:
+def encode_instance(entry: InstanceEntry) -> str:
     """Return the stored value of an instance's entry."""
     return json.dumps({"peer_address": entry.address, "zone": entry.zone})
--- a/chestnuthall/platform/_main.py
+++ b/chestnuthall/platform/_main.py
@@ -13,21 +13,21 @@
 from chestnuthall.platform._settings import PlatformSettings, read_settings
 from chestnuthall.services import DECISION_LOGGER_NAME
 
-EXIT_BAD_SETTINGS = 2
+EXIT_INVALID_SETTINGS = 2
 
 
 def main() -> None:
     """Run one entry instance until SIGTERM or SIGINT."""
     if len(sys.argv) != 2:
-        _fail("usage: python3 -m chestnuthall.platform SETTINGS-FILE")
+        _exit_with_error("usage: python3 -m chestnuthall.platform SETTINGS-FILE")
     settings_file = Path(sys.argv[1])
     try:
         text = settings_file.read_text()
     except OSError as error:
-        _fail(f"cannot read {settings_file}: {error.strerror}")
+        _exit_with_error(f"cannot read {settings_file}: {error.strerror}")
     settings = read_settings(text, str(settings_file))
     if isinstance(settings, Failure):
-        _fail(settings.reason)
+        _exit_with_error(settings.reason)
     log_limit = set_up_logs(settings.log_level, settings.name, (DECISION_LOGGER_NAME,))
     # A full garbage collection would block the event loop for tens of milliseconds
     # to traverse the imported modules, which are never freed.
@@ -36,9 +36,9 @@
     asyncio.run(_run(settings, log_limit))
 
 
-def _fail(message: str) -> NoReturn:
+def _exit_with_error(message: str) -> NoReturn:
     print(message, file=sys.stderr)
-    raise SystemExit(EXIT_BAD_SETTINGS)
+    raise SystemExit(EXIT_INVALID_SETTINGS)
 
 
 async def _run(settings: PlatformSettings, log_limit: RateLimitFilter) -> None:
--- a/chestnuthall/platform/_peer_calls.py
+++ b/chestnuthall/platform/_peer_calls.py
@@ -1,6 +1,6 @@
 """Calls between instances for some shards of a search.
 
-They are the caller's request with additional headers.
+Each call is the caller's request with additional headers.
 """
 
 from collections.abc import Awaitable, Callable
--- a/chestnuthall/platform/tests/standins.py
+++ b/chestnuthall/platform/tests/standins.py
@@ -26,7 +26,7 @@
 class Store:
     """Stand-in for the store: objects by kind and name, with watches.
 
-    One revision counts the writes of all objects.
+    A single revision number counts the writes of all objects.
     """
 
     def __init__(self):
@@ -273,7 +273,7 @@
         while not condition():
             if self.instance_task is not None and self.instance_task.done():
                 await self.instance_task
-            assert loop.time() < ends_at_s, "the condition did not come true in time"
+            assert loop.time() < ends_at_s, "the condition did not become true in time"
             await asyncio.sleep(0.005)
 
     async def send(self, path, *, request_id="q1", method="GET", body=b"", **headers):
@@ -308,8 +308,8 @@
         await self.store.server.close()
 
 
-# Below the system's range of ephemeral ports, from which an outgoing connection could
-# otherwise take a port between its choice and its use.
+# Ports are below the system's ephemeral range, since an outgoing connection could
+# take an ephemeral port between its selection and its use.
 PORT_MIN = 12_000
 N_PORTS = 18_000
 _ports = itertools.count(os.getpid() * 97)
--- a/chestnuthall/platform/tests/test_dialect.py
+++ b/chestnuthall/platform/tests/test_dialect.py
@@ -1,7 +1,7 @@
 """Tests the translation of the platform's store, registrations and configurations.
 
-Guards against invalid objects that are used or hide valid ones, and against writes of
-unknown outcome that are reported as not done.
+Guards against invalid objects that are used or hide valid ones, and against writes
+that are reported as not done although they may have taken effect.
 """
 
 import json
@@ -180,14 +180,14 @@
 # (case, changes to a valid entry, location of the problem or None)
 ENTRIES = [
     ("valid", {}, None),
-    ("no start stated", {"born": ...}, None),
+    ("no start time", {"born": ...}, None),
     ("no service", {"Service": ...}, "Service"),
     ("service of another type", {"Service": 7}, "Service"),
     ("slots as text", {"MaxConcurrency": "3"}, "MaxConcurrency"),
     ("no slots", {"MaxConcurrency": 0}, "MaxConcurrency"),
     ("unknown state", {"State": "odd"}, "State"),
     ("host name for an address", {"Address": "host:80"}, "Address"),
-    ("start as text", {"born": "17"}, "born"),
+    ("start time as text", {"born": "17"}, "born"),
 ]
 
 
@@ -197,7 +197,7 @@
     ids=[case[0] for case in ENTRIES],
 )
 def test_registrations(changes, location):
-    """An invalid entry must not be used and not prevent the use of others."""
+    """An invalid entry must neither be used nor prevent the use of others."""
     entry = {k: v for k, v in {**VALID_ENTRY, **changes}.items() if v is not ...}
     found = read_registration(StoredObject(KIND, "i-1", 1, json.dumps(entry)))
     if location is None:
--- a/chestnuthall/platform/tests/test_whole_path.py
+++ b/chestnuthall/platform/tests/test_whole_path.py
@@ -1,7 +1,8 @@
 """Tests the path from a caller to the replicas and back, on real sockets.
 
-Guards against faulty shard answers that are merged, requests that are reported as not
-run although a replica may have run them, and requests lost while an instance stops.
+Guards against merged answers that contain a faulty shard answer, requests that are
+reported as not run although a replica may have run them, and requests lost while an
+instance stops.
 """
 
 import asyncio
@@ -202,7 +203,7 @@
 def test_search_without_replicas_is_refused_at_once_and_instance_is_not_ready():
     """Such searches waited for admission until their deadlines.
 
-    It happens to an instance that cannot reach the store and keeps an outdated set
+    This happens to an instance that cannot reach the store and keeps an outdated set
     of shards.
     """
 
