--- a/chestnuthall/daemon/tests/test_claims_on_store.py
+++ b/chestnuthall/daemon/tests/test_claims_on_store.py
@@ -221,7 +221,7 @@
     "resent_after_s", [1.0, 700.0], ids=["before-expiry", "expired"]
 )
 def test_resent_key_is_not_claimed_twice(resent_after_s):
-    """However late its holder resumes, a claimed key must be refused to others."""
+    """A resend of a claimed key must be refused, even after the claim has expired."""
 
     async def scenario(fleet):
         issued_at_ms = fleet.clock.wall_ms()
--- a/chestnuthall/daemon/tests/test_configuration_on_store.py
+++ b/chestnuthall/daemon/tests/test_configuration_on_store.py
@@ -289,7 +289,7 @@
     ids=["same", "older", "behind", "none-in-force"],
 )
 def test_confirmation_by_a_peer(in_force, confirmed, is_confirmed):
-    """A confirmation of a newer revision than its own must not count as its own."""
+    """A confirmation of a revision newer than the one in force must not count."""
 
     async def scenario(fleet):
         keeper = fleet.keepers[0]
--- a/chestnuthall/daemon/tests/test_end_to_end.py
+++ b/chestnuthall/daemon/tests/test_end_to_end.py
@@ -71,7 +71,7 @@
 
 @pytest.mark.processes
 def test_store_outage_affects_only_mutations():
-    """A store outage must refuse mutations as not run and affect nothing else."""
+    """In a store outage mutations must be refused as not run; all else must work."""
 
     async def scenario():
         plan = FleetPlan(
--- a/chestnuthall/daemon/tests/test_fleet_processes.py
+++ b/chestnuthall/daemon/tests/test_fleet_processes.py
@@ -35,7 +35,7 @@
     return reply.body["status"]["fleet"]
 
 
-async def _search_for(fleet, duration_s):
+async def _search_repeatedly(fleet, duration_s):
     """Search through all instances for a duration; return the result codes."""
     loop = asyncio.get_running_loop()
     ends_s = loop.time() + duration_s
@@ -52,7 +52,7 @@
 @pytest.mark.processes
 @pytest.mark.timing
 def test_draining_replica_gets_no_new_calls():
-    """A draining replica must get no calls after 3 s, and calls again afterwards."""
+    """A replica must get no calls from 3 s into its drain until the drain ends."""
 
     async def scenario():
         async with LocalFleet(_make_plan()) as fleet:
@@ -62,18 +62,18 @@
             async def n_calls():
                 return (await upstream.send("GET", "/record")).body["n_calls"]
 
-            results = await _search_for(fleet, 1.0)
+            results = await _search_repeatedly(fleet, 1.0)
             n_before = await n_calls()
             await upstream.send("PUT", "/behaviour", {"is_draining": True})
-            results |= await _search_for(fleet, DRAIN_PROPAGATION_LIMIT_S)
+            results |= await _search_repeatedly(fleet, DRAIN_PROPAGATION_LIMIT_S)
             n_at_limit = await n_calls()
-            results |= await _search_for(fleet, 4.0)
+            results |= await _search_repeatedly(fleet, 4.0)
             n_later = await n_calls()
             # The emulator's health endpoint lags by 5 s until this change.
             behaviour = {"is_draining": False, "health_lag_ms": 0.0}
             await upstream.send("PUT", "/behaviour", behaviour)
             await asyncio.sleep(DRAIN_PROPAGATION_LIMIT_S)
-            results |= await _search_for(fleet, 1.5)
+            results |= await _search_repeatedly(fleet, 1.5)
             n_after_drain = await n_calls()
             upstream.close()
             return results, n_before > 0, n_later - n_at_limit, n_after_drain > n_later
--- a/chestnuthall/daemon/tests/test_membership.py
+++ b/chestnuthall/daemon/tests/test_membership.py
@@ -74,7 +74,7 @@
 
 
 async def _isolate(fleet):
-    """Lose all messages to and from the instance for 30 s."""
+    """Drop all messages to and from the instance for 30 s."""
     others = fleet.addresses(_instance_names() - {LAST_NAME})
     fleet.network.cut_both([fleet.instances[LAST_NAME].address], others)
     await asyncio.sleep(30.0)
@@ -82,7 +82,7 @@
     return None
 
 
-async def _lose_outgoing_messages(fleet):
+async def _drop_outgoing_messages(fleet):
     others = fleet.addresses(_instance_names() - {LAST_NAME})
     fleet.network.cut([fleet.instances[LAST_NAME].address], others)
     await asyncio.sleep(30.0)
@@ -133,7 +133,7 @@
     "replaced-by-slow-clock": _replace_with_slow_clock,
     "paused": _pause,
     "isolated": _isolate,
-    "outgoing-messages-lost": _lose_outgoing_messages,
+    "outgoing-messages-lost": _drop_outgoing_messages,
     "address-reused": _reuse_address,
     "killed-in-store-outage": _kill_in_store_outage,
     "restarted-while-listed-as-leaving": _restart_while_listed_as_leaving,
--- a/chestnuthall/daemon/tests/test_notices.py
+++ b/chestnuthall/daemon/tests/test_notices.py
@@ -48,7 +48,7 @@
 
     async def check_health(self, group, replica, timeout_ms):
         if not self.is_listening:
-            return CONNECTION_REFUSED.with_reason("down")
+            return CONNECTION_REFUSED.with_reason("not listening")
         return self.is_draining
 
 
@@ -142,7 +142,7 @@
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("signal", SIGNALS)
 def test_drain_reaches_all_instances_and_persists(signal, seed):
-    """No instance may use a draining replica from 3 s after the first signal on."""
+    """No instance may use a draining replica later than 3 s after the first signal."""
     start_drain, limit_s = SIGNALS[signal]
 
     async def scenario():
--- a/chestnuthall/daemon/tests/virtual_fleet.py
+++ b/chestnuthall/daemon/tests/virtual_fleet.py
@@ -35,7 +35,7 @@
 
     async def list_kind(self, kind, timeout_ms):
         if self._fleet.is_store_unavailable:
-            return STORE_UNAVAILABLE.with_reason("down")
+            return STORE_UNAVAILABLE.with_reason("unavailable")
         return tuple(_stored(entry) for entry in self._table.list_kind(kind))
 
     async def watch(self, kind, after_version, timeout_ms):
@@ -44,7 +44,7 @@
         )
         await self._host.wait_running()
         if self._fleet.is_store_unavailable:
-            return STORE_UNAVAILABLE.with_reason("down")
+            return STORE_UNAVAILABLE.with_reason("unavailable")
         return WatchBatch(
             max((change.version for change in changes), default=after_version),
             tuple(_stored(change.entry) for change in changes if change.entry),
