--- a/chestnuthall/cli/tests/test_names.py
+++ b/chestnuthall/cli/tests/test_names.py
@@ -29,12 +29,12 @@
 
 
 def _name_pattern(argument):
-    """Return a name with <> in place of each computed piece."""
+    """Return a name with <> in place of each computed segment."""
     if isinstance(argument, ast.Constant):
         return str(argument.value)
-    parts = getattr(argument, "values", ())
+    segments = getattr(argument, "values", ())
     return "".join(
-        str(part.value) if isinstance(part, ast.Constant) else "<>" for part in parts
+        str(item.value) if isinstance(item, ast.Constant) else "<>" for item in segments
     )
 
 
--- a/chestnuthall/cli/tests/test_publication.py
+++ b/chestnuthall/cli/tests/test_publication.py
@@ -209,7 +209,7 @@
 
         async def time_out(*arguments):
             setup.clock.at_ms += 2_000.0
-            return STORE_UNAVAILABLE.with_reason("down")
+            return STORE_UNAVAILABLE.with_reason("unavailable")
 
         write = setup.store._write
 
