--- a/chestnuthall/standins/load/_driver.py
+++ b/chestnuthall/standins/load/_driver.py
@@ -55,7 +55,7 @@
     """Sends searches, lookups and mutations, and checks every answer.
 
     Each mutation is sent twice with the same key, to independently chosen
-    instances, like by a caller that does not know whether its first request
+    instances. This emulates a caller that does not know whether its first request
     arrived.
     """
 
--- a/chestnuthall/standins/objectapi/_memory.py
+++ b/chestnuthall/standins/objectapi/_memory.py
@@ -26,7 +26,7 @@
     WatchCall,
 )
 
-# Added to the wait time of a watch to give the timeout of its call.
+# The timeout of a watch call exceeds the watch's wait time by this margin.
 WATCH_MARGIN_MS = 1_000.0
 
 _KINDS: dict[int, FailureKind] = {
@@ -55,7 +55,7 @@
     ) -> StoredObject | Failure:
         """Read one object."""
         reply = await self._read(GetCall(kind, name), timeout_ms)
-        return reply if isinstance(reply, Failure) else _object_of(reply.body)
+        return reply if isinstance(reply, Failure) else _to_stored_object(reply.body)
 
     async def list_kind(
         self, kind: str, timeout_ms: float
@@ -64,7 +64,7 @@
         reply = await self._read(ListCall(kind), timeout_ms)
         if isinstance(reply, Failure):
             return reply
-        return _objects_of(reply.body["objects"])
+        return _to_stored_objects(reply.body["objects"])
 
     async def create(
         self, kind: str, name: str, value: str, timeout_ms: float
@@ -96,7 +96,7 @@
         body = reply.body
         return WatchBatch(
             body["version"],  # type: ignore[arg-type]
-            _objects_of(body["changed"]),
+            _to_stored_objects(body["changed"]),
             tuple(body["deleted_names"]),  # type: ignore[arg-type]
         )
 
@@ -132,14 +132,14 @@
         if not isinstance(reply, Reply):
             return STORE_WRITE_UNKNOWN.with_reason("the store did not answer")
         if reply.status == 200:
-            return _object_of(reply.body)
+            return _to_stored_object(reply.body)
         kind = _KINDS.get(reply.status, STORE_WRITE_UNKNOWN)
         return kind.with_reason(f"the store answered with status {reply.status}")
 
 
-def _object_of(body: dict[str, object]) -> StoredObject:
+def _to_stored_object(body: dict[str, object]) -> StoredObject:
     return StoredObject(**body)  # type: ignore[arg-type]
 
 
-def _objects_of(bodies: object) -> tuple[StoredObject, ...]:
-    return tuple(_object_of(body) for body in bodies)  # type: ignore[attr-defined]
+def _to_stored_objects(bodies: object) -> tuple[StoredObject, ...]:
+    return tuple(_to_stored_object(body) for body in bodies)  # type: ignore[attr-defined]
--- a/chestnuthall/standins/objectapi/_objects.py
+++ b/chestnuthall/standins/objectapi/_objects.py
@@ -62,12 +62,12 @@
 
     def get(self, kind: str, name: str, lag_s: float = 0.0) -> Entry:
         """Return an object as it was ``lag_s`` ago."""
-        entry = self._state_of((kind, name), lag_s)
+        entry = self._find_state((kind, name), lag_s)
         if entry is None:
             raise UnknownObject(f"{kind}/{name} does not exist")
         return entry
 
-    def _state_of(self, key: tuple[str, str], lag_s: float) -> Entry | None:
+    def _find_state(self, key: tuple[str, str], lag_s: float) -> Entry | None:
         states = self._states.get(key, [])
         if states and lag_s <= 0.0:
             return states[-1][1]
@@ -80,7 +80,7 @@
     def list_kind(self, kind: str, lag_s: float = 0.0) -> list[Entry]:
         """Return all objects of a kind as they were ``lag_s`` ago, by name."""
         names = sorted(name for item_kind, name in self._states if item_kind == kind)
-        found = [self._state_of((kind, name), lag_s) for name in names]
+        found = [self._find_state((kind, name), lag_s) for name in names]
         return [entry for entry in found if entry is not None]
 
     def put(
@@ -90,7 +90,7 @@
 
         An expected version of 0 requires that the object does not exist.
         """
-        current = self._state_of((kind, name), 0.0)
+        current = self._find_state((kind, name), 0.0)
         current_version = 0 if current is None else current.version
         if expected_version is not None and expected_version != current_version:
             raise VersionConflict(f"{kind}/{name} is at version {current_version}")
--- a/chestnuthall/standins/objectapi/_server.py
+++ b/chestnuthall/standins/objectapi/_server.py
@@ -77,7 +77,7 @@
             await server.close()
 
     def set_faults(self, faults: StoreFaults) -> None:
-        """Replace the faults; refusing connections closes the listener."""
+        """Replace the faults; connections are refused by closing the listener."""
         self.service.set_faults(faults)
         if self._outage_task is not None:
             self._outage_task.cancel()
--- a/chestnuthall/standins/upstream/_server.py
+++ b/chestnuthall/standins/upstream/_server.py
@@ -220,7 +220,7 @@
         await asyncio.sleep(self._service_ms() / 1000.0)
         snapshot = self.snapshots[int(headers[b"x-snapshot-id"])]
         result = {
-            "hits": _hits_of(request.path, snapshot, body),
+            "hits": _find_hits(request.path, snapshot, body),
             "n_documents_searched": len(snapshot.keys),
         }
         if consume_fault(self.behaviour, "n_lost_answers"):
@@ -236,7 +236,7 @@
         return behaviour.service_ms * behaviour.slow_factor * factor
 
 
-def _hits_of(
+def _find_hits(
     path: str, snapshot: IndexSnapshot, body: dict[str, str]
 ) -> list[tuple[str, float, str]]:
     if path == "/v1/shard/search":
