--- a/benchmarks/_fakes.py
+++ b/benchmarks/_fakes.py
@@ -93,14 +93,14 @@
         await self._clock.sleep_ms(self._delay_ms)
         return answer
 
-    async def probe_for(
+    async def probe_indirectly(
         self, address: str, target_address: str, timeout_ms: float
     ) -> bool | Failure:
         """Ask a peer to probe another one; return whether that one answered."""
         await self._clock.sleep_ms(self._delay_ms)
         if address not in self._alive:
             return CONNECTION_LOST.with_reason("no answer")
-        return await self._services[address].probe_for(target_address)
+        return await self._services[address].probe_indirectly(target_address)
 
     async def fetch_configuration(
         self, address: str, timeout_ms: float
--- a/chestnuthall/adapters/callers/__init__.py
+++ b/chestnuthall/adapters/callers/__init__.py
@@ -4,7 +4,7 @@
 from chestnuthall.adapters.callers._encode import encode_account, encode_outcome
 from chestnuthall.adapters.callers._frontend import (
     CallerFrontend,
-    respond_to_http_error,
+    encode_http_error,
 )
 from chestnuthall.adapters.callers._models import read_request
 
@@ -14,5 +14,5 @@
     "encode_account",
     "encode_outcome",
     "read_request",
-    "respond_to_http_error",
+    "encode_http_error",
 ]
--- a/chestnuthall/adapters/callers/_frontend.py
+++ b/chestnuthall/adapters/callers/_frontend.py
@@ -101,7 +101,7 @@
         return HttpResponse(200, dict(_JSON), encode_json(body))
 
 
-def respond_to_http_error(status: int, reason: str) -> HttpResponse:
+def encode_http_error(status: int, reason: str) -> HttpResponse:
     """Return the response to a request that the HTTP server failed to serve."""
     if status == 413:
         return encode_outcome(BODY_TOO_LARGE.with_reason(reason))
--- a/chestnuthall/adapters/commentedjson/__init__.py
+++ b/chestnuthall/adapters/commentedjson/__init__.py
@@ -10,7 +10,7 @@
 from chestnuthall.adapters.commentedjson._source import (
     Source,
     blank_comments,
-    read_source,
+    parse_source,
 )
 
 __all__ = [
@@ -21,5 +21,5 @@
     "blank_comments",
     "check_text",
     "describe_problems",
-    "read_source",
+    "parse_source",
 ]
--- a/chestnuthall/adapters/commentedjson/_check.py
+++ b/chestnuthall/adapters/commentedjson/_check.py
@@ -12,7 +12,7 @@
     Path,
     Source,
     duplicate_paths,
-    read_source,
+    parse_source,
 )
 
 Model = TypeVar("Model", bound=BaseModel)
@@ -47,7 +47,7 @@
     The rules over several fields check the parsed JSON instead of the model, so that
     their violations are reported together with fields that are invalid by themselves.
     """
-    source = read_source(text, file_name)
+    source = parse_source(text, file_name)
     if isinstance(source, Problem):
         return (source,)
     problems = [
--- a/chestnuthall/adapters/commentedjson/_source.py
+++ b/chestnuthall/adapters/commentedjson/_source.py
@@ -93,7 +93,7 @@
     return Problem(file_name, line, column, "", rule, "write a number in digits")
 
 
-def read_source(text: str, file_name: str) -> Source | Problem:
+def parse_source(text: str, file_name: str) -> Source | Problem:
     """Parse a text, or return the problem if it is not JSON with comments."""
     blanked = blank_comments(text)
     try:
--- a/chestnuthall/adapters/documents/__init__.py
+++ b/chestnuthall/adapters/documents/__init__.py
@@ -14,7 +14,7 @@
 from chestnuthall.adapters.documents._environment import (
     EnvironmentModel,
     check_environment,
-    digest_of,
+    document_digest,
     read_environment,
 )
 from chestnuthall.adapters.documents._instances import (
@@ -51,7 +51,7 @@
     "JsonRevisionCodec",
     "PartitionMapModel",
     "check_environment",
-    "digest_of",
+    "document_digest",
     "encode_configuration",
     "encode_instance",
     "encode_partition_map",
--- a/chestnuthall/adapters/documents/_configuration.py
+++ b/chestnuthall/adapters/documents/_configuration.py
@@ -4,7 +4,10 @@
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
-from chestnuthall.adapters.documents._environment import digest_of, read_environment
+from chestnuthall.adapters.documents._environment import (
+    document_digest,
+    read_environment,
+)
 from chestnuthall.core.model import Configuration
 from chestnuthall.core.results import CONFIGURATION_REJECTED, Failure
 
@@ -39,7 +42,7 @@
         model = ConfigurationModel.model_validate_json(text)
     except ValidationError as error:
         return CONFIGURATION_REJECTED.with_reason(str(error))
-    if digest_of(model.text) != model.digest:
+    if document_digest(model.text) != model.digest:
         return CONFIGURATION_REJECTED.with_reason("the digest does not match the text")
     document = read_environment(model.text)
     if isinstance(document, Failure):
--- a/chestnuthall/adapters/documents/_environment.py
+++ b/chestnuthall/adapters/documents/_environment.py
@@ -147,7 +147,7 @@
         )
 
 
-def digest_of(text: str) -> str:
+def document_digest(text: str) -> str:
     """Return the SHA-256 of a document's bytes in hexadecimal."""
     return sha256(text.encode()).hexdigest()
 
--- a/chestnuthall/adapters/documents/_revisions.py
+++ b/chestnuthall/adapters/documents/_revisions.py
@@ -8,7 +8,7 @@
     ConfigurationModel,
     encode_configuration,
 )
-from chestnuthall.adapters.documents._environment import digest_of
+from chestnuthall.adapters.documents._environment import document_digest
 from chestnuthall.core.configuration import History, RevisionRecord
 from chestnuthall.core.results import CONFIGURATION_REJECTED, Failure
 
@@ -36,7 +36,7 @@
             model = ConfigurationModel.model_validate_json(text)
         except ValidationError as error:
             return CONFIGURATION_REJECTED.with_reason(str(error))
-        if digest_of(model.text) != model.digest:
+        if document_digest(model.text) != model.digest:
             return CONFIGURATION_REJECTED.with_reason(
                 "the digest does not match the text"
             )
--- a/chestnuthall/adapters/feeds/__init__.py
+++ b/chestnuthall/adapters/feeds/__init__.py
@@ -1,6 +1,6 @@
 """Transfer of store objects between instances over HTTP."""
 
-from chestnuthall.adapters.feeds._client import HttpPeerFeeds
-from chestnuthall.adapters.feeds._server import FeedFrontend
+from chestnuthall.adapters.feeds._client import HttpFeedClient
+from chestnuthall.adapters.feeds._server import FeedHandler
 
-__all__ = ["FeedFrontend", "HttpPeerFeeds"]
+__all__ = ["FeedHandler", "HttpFeedClient"]
--- a/chestnuthall/adapters/feeds/_client.py
+++ b/chestnuthall/adapters/feeds/_client.py
@@ -9,8 +9,8 @@
     ConnectionPool,
     HttpRequest,
     HttpResponse,
-    KeepAliveProbes,
     PoolSettings,
+    TcpKeepAlive,
 )
 from chestnuthall.core.results import (
     HISTORY_TRIMMED,
@@ -29,10 +29,10 @@
 N_CONNECTIONS_MAX = 4
 
 
-class HttpPeerFeeds:
+class HttpFeedClient:
     """Reads the feeds of peers, which are identified by their addresses."""
 
-    def __init__(self, probes: KeepAliveProbes | None = None) -> None:
+    def __init__(self, probes: TcpKeepAlive | None = None) -> None:
         self._probes = probes
         self._pools: dict[str, ConnectionPool] = {}
 
--- a/chestnuthall/adapters/feeds/_server.py
+++ b/chestnuthall/adapters/feeds/_server.py
@@ -17,7 +17,7 @@
 AGE_MS_MAX = 1e9
 
 
-class FeedFrontend:
+class FeedHandler:
     """Serves ``/v1/feeds/KIND``; with the option ``after``, waits for changes.
 
     Statuses 404 and 503 mean that the peer has to use another source, 410 that the
--- a/chestnuthall/adapters/feeds/tests/test_contract.py
+++ b/chestnuthall/adapters/feeds/tests/test_contract.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from chestnuthall.adapters.feeds import FeedFrontend, HttpPeerFeeds
+from chestnuthall.adapters.feeds import FeedHandler, HttpFeedClient
 from chestnuthall.adapters.http import HttpResponse, HttpServer
 from chestnuthall.core.results import (
     HISTORY_TRIMMED,
@@ -34,14 +34,14 @@
         return self.result
 
 
-async def with_feed_server(frontend, use_feeds):
-    server = HttpServer(frontend)
+async def with_feed_server(handler, use_client):
+    server = HttpServer(handler)
     port = await server.start("127.0.0.1", 0)
-    feeds = HttpPeerFeeds()
+    client = HttpFeedClient()
     try:
-        return await use_feeds(feeds, f"127.0.0.1:{port}")
+        return await use_client(client, f"127.0.0.1:{port}")
     finally:
-        feeds.close()
+        client.close()
         await server.close()
 
 
@@ -64,23 +64,23 @@
 )
 def test_watch(result, expected):
     source = None if result is None else FixedSource(result)
-    frontend = FeedFrontend(lambda kind: source, lambda kind: None)
+    handler = FeedHandler(lambda kind: source, lambda kind: None)
 
-    async def use_feeds(feeds, address):
-        return await feeds.watch(address, "k/1", 3, 50.0)
+    async def use_client(client, address):
+        return await client.watch(address, "k/1", 3, 50.0)
 
-    answer = asyncio.run(with_feed_server(frontend.handle, use_feeds))
+    answer = asyncio.run(with_feed_server(handler.handle, use_client))
     assert (answer.kind if isinstance(answer, Failure) else answer) == expected
 
 
 def test_snapshot():
     snapshot = FeedAnswer(WatchBatch(9, (OBJECT,)), 700.0)
-    frontend = FeedFrontend(lambda kind: None, lambda kind: FixedSource(snapshot))
+    handler = FeedHandler(lambda kind: None, lambda kind: FixedSource(snapshot))
 
-    async def use_feeds(feeds, address):
-        return await feeds.snapshot(address, "k/1", 500.0)
+    async def use_client(client, address):
+        return await client.snapshot(address, "k/1", 500.0)
 
-    assert asyncio.run(with_feed_server(frontend.handle, use_feeds)) == snapshot
+    assert asyncio.run(with_feed_server(handler.handle, use_client)) == snapshot
 
 
 async def never_respond(request):
@@ -109,20 +109,20 @@
 def test_unusable_feed_is_reported(respond):
     """The instance must get a failure in order to read the store, not a late reply."""
 
-    async def use_feeds(feeds, address):
-        first = await feeds.watch(address, "k", 3, 10.0)
-        second = await feeds.snapshot(address, "k", 100.0)
+    async def use_client(client, address):
+        first = await client.watch(address, "k", 3, 10.0)
+        second = await client.snapshot(address, "k", 100.0)
         return first, second
 
-    for result in asyncio.run(with_feed_server(respond, use_feeds)):
+    for result in asyncio.run(with_feed_server(respond, use_client)):
         assert isinstance(result, Failure)
         assert result.kind is STORE_UNAVAILABLE
 
 
 def test_unreachable_peer_is_reported():
-    async def use_feeds(feeds, address):
-        return await feeds.watch("127.0.0.1:9", "k", 3, 10.0)
+    async def use_client(client, address):
+        return await client.watch("127.0.0.1:9", "k", 3, 10.0)
 
-    result = asyncio.run(with_feed_server(respond_with_error, use_feeds))
+    result = asyncio.run(with_feed_server(respond_with_error, use_client))
     assert isinstance(result, Failure)
     assert result.kind is STORE_UNAVAILABLE
--- a/chestnuthall/adapters/http/__init__.py
+++ b/chestnuthall/adapters/http/__init__.py
@@ -2,7 +2,7 @@
 
 from chestnuthall.adapters.http._client import (
     ClientConnection,
-    KeepAliveProbes,
+    TcpKeepAlive,
     connect,
 )
 from chestnuthall.adapters.http._messages import (
@@ -22,7 +22,7 @@
     "HttpRequest",
     "HttpResponse",
     "HttpServer",
-    "KeepAliveProbes",
+    "TcpKeepAlive",
     "PoolSettings",
     "ServerLimits",
     "connect",
--- a/chestnuthall/adapters/http/_client.py
+++ b/chestnuthall/adapters/http/_client.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class KeepAliveProbes:
+class TcpKeepAlive:
     """Settings of the TCP keepalive probes that detect an unresponsive peer."""
 
     idle_s: int
@@ -203,7 +203,7 @@
 
 
 async def connect(
-    address: str, timeout_ms: float, probes: KeepAliveProbes | None = None
+    address: str, timeout_ms: float, probes: TcpKeepAlive | None = None
 ) -> ClientConnection | Failure:
     """Open a connection to ``host:port``; nothing is written to it."""
     host, _, port = address.rpartition(":")
--- a/chestnuthall/adapters/http/_pool.py
+++ b/chestnuthall/adapters/http/_pool.py
@@ -6,7 +6,7 @@
 
 from chestnuthall.adapters.http._client import (
     ClientConnection,
-    KeepAliveProbes,
+    TcpKeepAlive,
     connect,
 )
 from chestnuthall.core.results import NO_REPLICA, Failure
@@ -19,11 +19,11 @@
     n_connections_max: int = 4
     connect_timeout_ms: float = 1_000.0
     # Number of connections opened in advance; None means n_connections_max.
-    n_warm: int | None = None
+    n_connections_warm: int | None = None
     # Idle connections in excess of ``n_idle_kept`` are closed after this time; with
     # None they stay open.
     idle_close_ms: float | None = None
-    probes: KeepAliveProbes | None = None
+    probes: TcpKeepAlive | None = None
 
 
 class ConnectionPool:
@@ -37,7 +37,7 @@
         self.address = address
         self.n_connections_max = settings.n_connections_max
         self._connect_timeout_ms = settings.connect_timeout_ms
-        self._n_warm = settings.n_warm
+        self._n_connections_warm = settings.n_connections_warm
         self._probes = settings.probes
         self._idle_close_ms = settings.idle_close_ms
         self.n_idle_kept = settings.n_connections_max
@@ -151,8 +151,8 @@
         A call that has to open a connection itself takes up to 6 ms longer.
         """
         n_wanted = self.n_connections_max
-        if self._n_warm is not None:
-            n_wanted = min(n_wanted, self._n_warm, self.n_idle_kept)
+        if self._n_connections_warm is not None:
+            n_wanted = min(n_wanted, self._n_connections_warm, self.n_idle_kept)
         while self._n_open < n_wanted and not self._is_closed:
             connection = await self._open(self._connect_timeout_ms)
             if isinstance(connection, Failure):
--- a/chestnuthall/adapters/http/_server.py
+++ b/chestnuthall/adapters/http/_server.py
@@ -27,7 +27,7 @@
     """Limits that protect a server from its clients.
 
     ``idle_timeout_ms`` also limits the time in which a complete request has to
-    arrive, and ``head_timeout_ms`` the time for its head alone. ``accept_delay_ms``
+    arrive, and ``header_timeout_ms`` the time for its head alone. ``accept_delay_ms``
     is the cost of a new connection in emulators. With ``cancels_at_eof``, the end
     of a client's stream cancels its running request; otherwise the request is
     still answered.
@@ -38,7 +38,7 @@
     n_connections_max: int = 1024
     idle_timeout_ms: float = 75_000.0
     accept_delay_ms: float = 0.0
-    head_timeout_ms: float | None = None
+    header_timeout_ms: float | None = None
     cancels_at_eof: bool = False
 
 
@@ -67,7 +67,7 @@
         self.error_responder = error_responder
         self.is_closing = False
         # While this is set, each connection is closed after its next response.
-        self.ends_connections = False
+        self.closes_connections = False
         self.n_connections_peak = 0
         self._connections: set[_ServerConnection] = set()
         self._server: asyncio.Server | None = None
@@ -251,7 +251,7 @@
 
     def _limit_head_time(self) -> None:
         """Limit the time for the rest of a head that has partly arrived."""
-        timeout_ms = self._server.limits.head_timeout_ms
+        timeout_ms = self._server.limits.header_timeout_ms
         is_partial = self._h11.their_state is h11.IDLE and self._h11.trailing_data[0]
         if timeout_ms is None or self._is_head_timer_running or not is_partial:
             return
@@ -317,7 +317,7 @@
             *response.all_headers,
             (b"content-length", b"%d" % len(response.body)),
         ]
-        if self._server.is_closing or self._server.ends_connections:
+        if self._server.is_closing or self._server.closes_connections:
             headers.append((b"connection", b"close"))
         head = h11.Response(status_code=response.status, headers=headers)
         data = self._h11.send(head) or b""
--- a/chestnuthall/adapters/instances/__init__.py
+++ b/chestnuthall/adapters/instances/__init__.py
@@ -1,5 +1,5 @@
 """Client of the operators' HTTP interface of instances."""
 
-from chestnuthall.adapters.instances._client import HttpInstanceAdmin
+from chestnuthall.adapters.instances._client import HttpInstanceAdminClient
 
-__all__ = ["HttpInstanceAdmin"]
+__all__ = ["HttpInstanceAdminClient"]
--- a/chestnuthall/adapters/instances/_client.py
+++ b/chestnuthall/adapters/instances/_client.py
@@ -84,7 +84,7 @@
     reason: str = ""
 
 
-class HttpInstanceAdmin:
+class HttpInstanceAdminClient:
     """Sends requests to instances by address, with one connection per request."""
 
     async def status(self, address: str, timeout_ms: float) -> InstanceStatus | Failure:
@@ -107,7 +107,7 @@
             return "draining"
         return "ready" if response.status == 200 else "unwell"
 
-    async def announce(
+    async def offer_configuration(
         self, address: str, stored_text: str, timeout_ms: float
     ) -> int | Failure:
         """Offer an accepted configuration; return the revision then in force."""
--- a/chestnuthall/adapters/logs/__init__.py
+++ b/chestnuthall/adapters/logs/__init__.py
@@ -1,7 +1,7 @@
 """JSON logging with a limit on its volume."""
 
 from chestnuthall.adapters.logs._limit import LogLimits, RateLimitFilter
-from chestnuthall.adapters.logs._setup import EventFormatter, set_up_logs
+from chestnuthall.adapters.logs._setup import EventFormatter, configure_logging
 from chestnuthall.adapters.logs._stream import LossyStream
 
 __all__ = [
@@ -9,5 +9,5 @@
     "LogLimits",
     "LossyStream",
     "RateLimitFilter",
-    "set_up_logs",
+    "configure_logging",
 ]
--- a/chestnuthall/adapters/logs/_setup.py
+++ b/chestnuthall/adapters/logs/_setup.py
@@ -42,7 +42,7 @@
         log_data["message"] = record.getMessage()
 
 
-def set_up_logs(
+def configure_logging(
     level: str, instance: str, self_limiting_loggers: Iterable[str] = ()
 ) -> RateLimitFilter:
     """Write the log of this process to standard output as JSON lines.
--- a/chestnuthall/adapters/metrics/_exposition.py
+++ b/chestnuthall/adapters/metrics/_exposition.py
@@ -15,7 +15,7 @@
 N_NAMES_MAX = 1024
 
 
-class ExpositionMetrics:
+class PrometheusMetrics:
     """Keeps counters, gauges and histograms for scraping.
 
     A name up to its first dot is the metric; the rest is the value of its label
@@ -70,7 +70,7 @@
         child = self._children[name] = family.labels(detail)
         return child
 
-    def text(self) -> bytes:
+    def render(self) -> bytes:
         """Return all metrics in the text exposition format."""
         data: bytes = generate_latest(self._registry)
         return data
--- a/chestnuthall/adapters/objectapi/__init__.py
+++ b/chestnuthall/adapters/objectapi/__init__.py
@@ -5,7 +5,7 @@
     ListPage,
     ObjectDialect,
     VersionedDialect,
-    failure_of_status,
+    failure_from_status,
 )
 
 __all__ = [
@@ -13,5 +13,5 @@
     "ListPage",
     "ObjectDialect",
     "VersionedDialect",
-    "failure_of_status",
+    "failure_from_status",
 ]
--- a/chestnuthall/adapters/objectapi/_client.py
+++ b/chestnuthall/adapters/objectapi/_client.py
@@ -7,8 +7,8 @@
     ConnectionPool,
     HttpRequest,
     HttpResponse,
-    KeepAliveProbes,
     PoolSettings,
+    TcpKeepAlive,
 )
 from chestnuthall.adapters.objectapi._dialect import ObjectDialect, VersionedDialect
 from chestnuthall.core.results import (
@@ -40,7 +40,7 @@
         self,
         address: str,
         dialect: ObjectDialect | None = None,
-        probes: KeepAliveProbes | None = None,
+        probes: TcpKeepAlive | None = None,
     ) -> None:
         self._dialect: ObjectDialect = dialect or VersionedDialect()
         self._pool = ConnectionPool(
@@ -59,7 +59,7 @@
         response = await self._exchange(self._dialect.get(kind, name), timeout_ms)
         if isinstance(response, Failure):
             return _as_read_failure(response)
-        return self._dialect.read_object(kind, name, response)
+        return self._dialect.decode_object(kind, name, response)
 
     async def list_kind(
         self, kind: str, timeout_ms: float
@@ -73,18 +73,18 @@
             response = await self._exchange(request, timeout_ms)
             if isinstance(response, Failure):
                 return _as_read_failure(response)
-            page = self._dialect.read_list(kind, response)
+            page = self._dialect.decode_list(kind, response)
             if isinstance(page, Failure):
                 return page
             # A watch that starts at the version of the first page also reports the
             # changes made while the later pages were read.
             first_version = first_version or page.version
             listed += page.objects
-            if not page.next_after:
+            if not page.next_cursor:
                 return tuple(
                     replace(item, seen_version=first_version) for item in listed
                 )
-            after = page.next_after
+            after = page.next_cursor
         return STORE_UNAVAILABLE.with_reason(f"the list of {kind!r} has too many pages")
 
     async def create(
@@ -117,7 +117,7 @@
         response = await self._exchange(request, timeout_ms + WATCH_MARGIN_MS)
         if isinstance(response, Failure):
             return _as_read_failure(response)
-        return self._dialect.read_watch(kind, response)
+        return self._dialect.decode_watch(kind, response)
 
     async def _write(
         self, kind: str, request: HttpRequest, timeout_ms: float
@@ -127,7 +127,7 @@
             if response.kind in (NO_REPLICA, CONNECTION_REFUSED):
                 return STORE_UNAVAILABLE.with_reason(response.reason)
             return STORE_WRITE_UNKNOWN.with_reason(response.reason)
-        return self._dialect.read_written(kind, response)
+        return self._dialect.decode_write(kind, response)
 
     async def _exchange(
         self, request: HttpRequest, timeout_ms: float
--- a/chestnuthall/adapters/objectapi/_dialect.py
+++ b/chestnuthall/adapters/objectapi/_dialect.py
@@ -25,12 +25,12 @@
 class ListPage:
     """One page of a listing.
 
-    ``next_after`` is the cursor of the next page, empty on the last page.
+    ``next_cursor`` is the cursor of the next page, empty on the last page.
     ``version`` is the store's version when the page was read, 0 if unknown.
     """
 
     objects: tuple[StoredObject, ...]
-    next_after: str = ""
+    next_cursor: str = ""
     version: int = 0
 
 
@@ -61,24 +61,24 @@
         """Return the request that waits for changes after a version."""
         ...
 
-    def read_object(
+    def decode_object(
         self, kind: str, name: str, response: HttpResponse
     ) -> StoredObject | Failure:
         """Decode the response to the read of one object."""
         ...
 
-    def read_list(self, kind: str, response: HttpResponse) -> ListPage | Failure:
+    def decode_list(self, kind: str, response: HttpResponse) -> ListPage | Failure:
         """Decode the response to the request for a page of a listing."""
         ...
 
-    def read_written(self, kind: str, response: HttpResponse) -> StoredObject | Failure:
+    def decode_write(self, kind: str, response: HttpResponse) -> StoredObject | Failure:
         """Decode the response to a write.
 
         The failure says whether the write may have taken effect.
         """
         ...
 
-    def read_watch(self, kind: str, response: HttpResponse) -> WatchBatch | Failure:
+    def decode_watch(self, kind: str, response: HttpResponse) -> WatchBatch | Failure:
         """Decode the response to a watch."""
         ...
 
@@ -148,30 +148,30 @@
         )
         return HttpRequest("GET", target)
 
-    def read_object(
+    def decode_object(
         self, kind: str, name: str, response: HttpResponse
     ) -> StoredObject | Failure:
         """Decode the response to the read of one object."""
         return _decode_object(response)
 
-    def read_list(self, kind: str, response: HttpResponse) -> ListPage | Failure:
+    def decode_list(self, kind: str, response: HttpResponse) -> ListPage | Failure:
         """Decode the response to the request for a listing, which has one page."""
         if response.status != 200:
-            return failure_of_status(response)
+            return failure_from_status(response)
         try:
             listed = _ListModel.model_validate_json(response.body)
         except ValidationError:
             return STORE_UNAVAILABLE.with_reason("the store sent an invalid list")
         return ListPage(tuple(item.to_port() for item in listed.objects))
 
-    def read_written(self, kind: str, response: HttpResponse) -> StoredObject | Failure:
+    def decode_write(self, kind: str, response: HttpResponse) -> StoredObject | Failure:
         """Decode the response to a write."""
         return _decode_write(response)
 
-    def read_watch(self, kind: str, response: HttpResponse) -> WatchBatch | Failure:
+    def decode_watch(self, kind: str, response: HttpResponse) -> WatchBatch | Failure:
         """Decode the response to a watch."""
         if response.status != 200:
-            return failure_of_status(response)
+            return failure_from_status(response)
         try:
             batch = _WatchModel.model_validate_json(response.body)
         except ValidationError:
@@ -215,14 +215,14 @@
 
 def _decode_object(response: HttpResponse) -> StoredObject | Failure:
     if response.status != 200:
-        return failure_of_status(response)
+        return failure_from_status(response)
     try:
         return _ObjectModel.model_validate_json(response.body).to_port()
     except ValidationError:
         return STORE_UNAVAILABLE.with_reason("the store sent an invalid object")
 
 
-def failure_of_status(response: HttpResponse) -> Failure:
+def failure_from_status(response: HttpResponse) -> Failure:
     """Return the failure of a read that was answered with an error status."""
     failure_kind = _FAILURE_KINDS_BY_STATUS.get(response.status, STORE_UNAVAILABLE)
     return failure_kind.with_reason(_failure_reason(response))
--- a/chestnuthall/adapters/peers/_client.py
+++ b/chestnuthall/adapters/peers/_client.py
@@ -43,7 +43,7 @@
         )
         return answer if isinstance(answer, Failure) else digest_from_proto(answer)
 
-    async def probe_for(
+    async def probe_indirectly(
         self, address: str, target_address: str, timeout_ms: float
     ) -> bool | Failure:
         """Request an indirect probe by a peer; return whether the target answered."""
--- a/chestnuthall/adapters/peers/_server.py
+++ b/chestnuthall/adapters/peers/_server.py
@@ -28,7 +28,7 @@
     async def ProbeFor(
         self, request: pb.ProbeForRequest, context: grpc.aio.ServicerContext
     ) -> pb.ProbeForResponse:
-        is_alive = await self._service.probe_for(request.target_address)
+        is_alive = await self._service.probe_indirectly(request.target_address)
         return pb.ProbeForResponse(is_alive=is_alive)
 
     async def FetchConfiguration(
--- a/chestnuthall/adapters/peers/tests/test_contract.py
+++ b/chestnuthall/adapters/peers/tests/test_contract.py
@@ -72,7 +72,7 @@
         await asyncio.sleep(self.delay_s)
         return DIGEST
 
-    async def probe_for(self, target_address):
+    async def probe_indirectly(self, target_address):
         await asyncio.sleep(self.delay_s)
         return target_address == "127.0.0.1:8"
 
@@ -120,11 +120,11 @@
 
 
 async def _probe_alive(transport, address, timeout_ms=2_000.0):
-    return await transport.probe_for(address, "127.0.0.1:8", timeout_ms)
+    return await transport.probe_indirectly(address, "127.0.0.1:8", timeout_ms)
 
 
 async def _probe_dead(transport, address, timeout_ms=2_000.0):
-    return await transport.probe_for(address, "127.0.0.1:7", timeout_ms)
+    return await transport.probe_indirectly(address, "127.0.0.1:7", timeout_ms)
 
 
 async def _fetch(transport, address, timeout_ms=2_000.0):
--- a/chestnuthall/adapters/searchapi/__init__.py
+++ b/chestnuthall/adapters/searchapi/__init__.py
@@ -3,8 +3,8 @@
 from chestnuthall.adapters.searchapi._caller import SearchCaller
 from chestnuthall.adapters.searchapi._codec import (
     SearchCodec,
+    decode_answer,
     encode_call,
-    read_answer,
 )
 
-__all__ = ["SearchCaller", "SearchCodec", "encode_call", "read_answer"]
+__all__ = ["SearchCaller", "SearchCodec", "encode_call", "decode_answer"]
--- a/chestnuthall/adapters/searchapi/_caller.py
+++ b/chestnuthall/adapters/searchapi/_caller.py
@@ -20,7 +20,7 @@
     ) -> PartitionMap | Failure:
         """Return the newest partition map that a replica knows."""
         request = HttpRequest("GET", "/v1/partition-map")
-        response = await self.exchange(replica, "", request, timeout_ms)
+        response = await self.send_request(replica, "", request, timeout_ms)
         if isinstance(response, Failure):
             return response
         if response.status != 200:
@@ -32,7 +32,7 @@
     ) -> bool | Failure:
         """Return whether the replica reports that it is draining."""
         request = HttpRequest("GET", "/v1/health")
-        response = await self.exchange(replica, group, request, timeout_ms)
+        response = await self.send_request(replica, group, request, timeout_ms)
         if isinstance(response, Failure):
             return response
         return read_health(response)
--- a/chestnuthall/adapters/searchapi/_codec.py
+++ b/chestnuthall/adapters/searchapi/_codec.py
@@ -112,17 +112,17 @@
 class SearchCodec:
     """Codec of the protocol in ``docs/upstream-interface.md``."""
 
-    closes_to_cancel = False
+    cancels_by_closing = False
 
     def encode_call(self, call: ShardCall, remaining_ms: float) -> HttpRequest:
         """Return the HTTP request of a shard call."""
         return encode_call(call, remaining_ms)
 
-    def read_answer(
+    def decode_answer(
         self, call: ShardCall, response: HttpResponse
     ) -> ShardAnswer | Failure:
         """Return the answer to a call, or a failure if the response is not one."""
-        return read_answer(call, response)
+        return decode_answer(call, response)
 
     def encode_cancel(self, call: ShardCall) -> HttpRequest | None:
         """Return the request that cancels a call; None if it is not idempotent."""
@@ -145,7 +145,7 @@
     )
 
 
-def read_answer(call: ShardCall, response: HttpResponse) -> ShardAnswer | Failure:
+def decode_answer(call: ShardCall, response: HttpResponse) -> ShardAnswer | Failure:
     """Return the answer to a call, or a failure if the response is not one."""
     headers = response.headers
     if headers.get(CALL_ID, b"").decode("latin-1") != call.call_id:
--- a/chestnuthall/adapters/searchapi/tests/test_contract.py
+++ b/chestnuthall/adapters/searchapi/tests/test_contract.py
@@ -10,7 +10,7 @@
 
 from chestnuthall.adapters.clock import LoopClock
 from chestnuthall.adapters.http import HttpResponse
-from chestnuthall.adapters.searchapi import SearchCaller, read_answer
+from chestnuthall.adapters.searchapi import SearchCaller, decode_answer
 from chestnuthall.core.model import (
     MutationRequest,
     PartitionMap,
@@ -207,5 +207,5 @@
     if header is not None:
         headers[b"x-draining"] = header
     body = b'{"hits": [], "n_documents_searched": 0}'
-    answer = read_answer(call, HttpResponse(200, headers, body))
+    answer = decode_answer(call, HttpResponse(200, headers, body))
     assert answer.is_draining == is_draining
--- a/chestnuthall/adapters/upstreams/_caller.py
+++ b/chestnuthall/adapters/upstreams/_caller.py
@@ -162,13 +162,13 @@
             pool.set_budget(budget.n_connections)
         return pool
 
-    def prepare(self, replica: Replica, shard_id: str) -> None:
+    def open_connections(self, replica: Replica, shard_id: str) -> None:
         """Open connections to a replica ahead of the first call."""
         if replica.zone == self._zone:
             self._same_zone_addresses.add(replica.address)
         self._pool(replica.address, shard_id)
 
-    def forget(self, address: str) -> None:
+    def close_connections(self, address: str) -> None:
         """Close the connections to a replica that was removed."""
         pool = self._pools.pop(address, None)
         self._group_of_address.pop(address, None)
@@ -250,7 +250,7 @@
         response: HttpResponse,
     ) -> ShardAnswer | Failure:
         """Decode a response and release its connection."""
-        answer = self._codec.read_answer(call, response)
+        answer = self._codec.decode_answer(call, response)
         if isinstance(answer, Failure) and answer.kind is CALL_MISMATCH:
             # Further responses on the connection may belong to other calls, too.
             connection.close()
@@ -293,7 +293,7 @@
         which makes the replica drop the call.
         """
         cancel_request = self._codec.encode_cancel(call)
-        if cancel_request is None and self._codec.closes_to_cancel:
+        if cancel_request is None and self._codec.cancels_by_closing:
             connection.close()
             pool.release(connection)
             return
@@ -327,7 +327,7 @@
             return ANSWER_CUT.with_reason(failure.reason)
         return failure
 
-    async def exchange(
+    async def send_request(
         self, replica: Replica, group: str, request: HttpRequest, timeout_ms: float
     ) -> HttpResponse | Failure:
         """Send a request other than a shard call to a replica; return its response.
--- a/chestnuthall/adapters/upstreams/_codec.py
+++ b/chestnuthall/adapters/upstreams/_codec.py
@@ -10,14 +10,14 @@
 class UpstreamCodec(Protocol):
     """Encodes shard calls and decodes shard answers."""
 
-    closes_to_cancel: bool
+    cancels_by_closing: bool
     """Whether a call is cancelled by closing its connection."""
 
     def encode_call(self, call: ShardCall, remaining_ms: float) -> HttpRequest:
         """Return the HTTP request of a shard call."""
         ...
 
-    def read_answer(
+    def decode_answer(
         self, call: ShardCall, response: HttpResponse
     ) -> ShardAnswer | Failure:
         """Return the answer to a call, or a failure if the response is not one."""
--- a/chestnuthall/adapters/upstreams/tests/test_connection_budgets.py
+++ b/chestnuthall/adapters/upstreams/tests/test_connection_budgets.py
@@ -44,7 +44,7 @@
             "s", n_connections, connected_ratio, n_connections_in_zone
         )
         for replica in (SAME_ZONE, REMOTE):
-            caller.prepare(replica, "s")
+            caller.open_connections(replica, "s")
         pools = [caller._pools[item.address] for item in (SAME_ZONE, REMOTE)]
         limits = [(pool.n_connections_max, pool.n_idle_kept) for pool in pools]
         await asyncio.sleep(0.05)
--- a/chestnuthall/cli/_document_commands.py
+++ b/chestnuthall/cli/_document_commands.py
@@ -11,7 +11,7 @@
 from chestnuthall.adapters.commentedjson import describe_problems
 from chestnuthall.adapters.documents import (
     check_environment,
-    digest_of,
+    document_digest,
     read_environment,
 )
 from chestnuthall.adapters.settings import read_profile, read_settings
@@ -94,10 +94,10 @@
     if isinstance(checked, ExitCode):
         return checked
     text, document = checked
-    output.print_json({"digest": digest_of(text), "problems": []})
+    output.print_json({"digest": document_digest(text), "problems": []})
     output.print_text(
         f"{file} is valid: {len(document.classes)} classes,"
-        f" {len(document.groups)} groups, digest {digest_of(text)[:12]}"
+        f" {len(document.groups)} groups, digest {document_digest(text)[:12]}"
     )
     return ExitCode.OK
 
@@ -145,7 +145,9 @@
     if isinstance(old, Failure):
         return output.report_failure(old)
     revision = 0 if in_force is None else in_force.record.revision
-    same_bytes = in_force is not None and in_force.record.digest == digest_of(text)
+    same_bytes = in_force is not None and in_force.record.digest == document_digest(
+        text
+    )
     found = differences(old, document)
     output.print_json(
         {
@@ -217,7 +219,7 @@
     if _has_same_digest(base, text) and expect_revision is None:
         return _report_already_in_force(session, base)
     draft = session.publication.draft(
-        environment, text, digest_of(text), session.profile.operator, reason
+        environment, text, document_digest(text), session.profile.operator, reason
     )
     with session.output.progress("writing to the store"):
         outcome = await session.publication.publish(draft, base, expect_revision)
@@ -225,7 +227,7 @@
 
 
 def _has_same_digest(base: StoredRevision | None, text: str) -> bool:
-    return base is not None and base.record.digest == digest_of(text)
+    return base is not None and base.record.digest == document_digest(text)
 
 
 def _report_already_in_force(session: Session, base: StoredRevision | None) -> ExitCode:
@@ -276,7 +278,7 @@
         Reason to promote without proof.
     """
     session = open_session(common)
-    wanted_digest = "" if file is None else digest_of(read_file(file))
+    wanted_digest = "" if file is None else document_digest(read_file(file))
     return run(promote(session, _require_reason(reason), wanted_digest, override))
 
 
--- a/chestnuthall/cli/_session.py
+++ b/chestnuthall/cli/_session.py
@@ -16,7 +16,7 @@
     read_instance,
     read_partition_map,
 )
-from chestnuthall.adapters.instances import HttpInstanceAdmin
+from chestnuthall.adapters.instances import HttpInstanceAdminClient
 from chestnuthall.adapters.objectapi import HttpObjectStore
 from chestnuthall.adapters.settings import ToolProfile, read_profile
 from chestnuthall.cli._exit_codes import ExitCode
@@ -154,7 +154,11 @@
     store = HttpObjectStore(profile.store_address)
     clock = LoopClock()
     fleet = FleetView(
-        store, HttpInstanceAdmin(), clock, _read_instance_summary, read_partition_map
+        store,
+        HttpInstanceAdminClient(),
+        clock,
+        _read_instance_summary,
+        read_partition_map,
     )
     revision_book = RevisionBook(store, clock, JsonRevisionCodec(), read_environment)
     publication = Publication(revision_book, fleet, lambda: token_hex(8))
--- a/chestnuthall/cli/tests/fakes.py
+++ b/chestnuthall/cli/tests/fakes.py
@@ -99,7 +99,7 @@
         found = self.statuses.get(address)
         return STORE_UNAVAILABLE.with_reason("no answer") if found is None else found
 
-    async def announce(self, address, stored_text, timeout_ms):
+    async def offer_configuration(self, address, stored_text, timeout_ms):
         self.announced.append((address, stored_text))
         return 1
 
--- a/chestnuthall/cli/tests/test_generated_docs.py
+++ b/chestnuthall/cli/tests/test_generated_docs.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from chestnuthall.adapters.commentedjson import read_source
+from chestnuthall.adapters.commentedjson import parse_source
 from chestnuthall.cli._generated_docs import SCHEMAS, generated_files
 
 ROOT = Path(__file__).parents[3]
@@ -28,6 +28,6 @@
 
 def test_example_document_has_the_fields_of_the_schema():
     """Guards the example, which operators copy, against unknown fields."""
-    source = read_source((ROOT / "examples" / "environment.jsonc").read_text(), "e")
+    source = parse_source((ROOT / "examples" / "environment.jsonc").read_text(), "e")
     schema = json.loads(generated_files()["schema/environment.schema.json"])
     assert set(source.value) <= set(schema["properties"])
--- a/chestnuthall/cli/tests/test_publication.py
+++ b/chestnuthall/cli/tests/test_publication.py
@@ -10,7 +10,7 @@
 
 from chestnuthall.adapters.documents import (
     JsonRevisionCodec,
-    digest_of,
+    document_digest,
     read_environment,
     read_partition_map,
 )
@@ -69,7 +69,9 @@
         if base == "read":
             base = await self.revision_book.in_force("trial")
         text = document(share)
-        draft = self.publication.draft("trial", text, digest_of(text), author, "why")
+        draft = self.publication.draft(
+            "trial", text, document_digest(text), author, "why"
+        )
         return await self.publication.publish(draft, base, **options)
 
     def replace_concurrently(self, share, author, token):
@@ -82,7 +84,7 @@
             base = await other.in_force("trial")
             text = document(share)
             draft = self.publication.draft(
-                "trial", text, digest_of(text), author, token
+                "trial", text, document_digest(text), author, token
             )
             return await other.accept(draft, base)
 
@@ -163,7 +165,9 @@
         # The two reads of the history before the write must succeed.
         await setup.revision_book.record_in_history(base.record)
         text = document(2)
-        draft = setup.publication.draft("trial", text, digest_of(text), "ada", "why")
+        draft = setup.publication.draft(
+            "trial", text, document_digest(text), "ada", "why"
+        )
         if n_failing_reads:
             _fail_reads_after_write(setup, n_failing_reads)
         result = await setup.publication.publish(draft, base)
@@ -201,11 +205,11 @@
         setup = PublicationSetup()
         await setup.publish(1)
         announced_ms = []
-        announce = setup.admin.announce
+        offer_configuration = setup.admin.offer_configuration
 
         async def announce_recording_time(*arguments):
             announced_ms.append(setup.clock.now_ms())
-            return await announce(*arguments)
+            return await offer_configuration(*arguments)
 
         async def time_out(*arguments):
             setup.clock.at_ms += 2_000.0
@@ -220,7 +224,7 @@
                 setup.store.update = setup.store.create = time_out
             return result
 
-        setup.admin.announce = announce_recording_time
+        setup.admin.offer_configuration = announce_recording_time
         setup.store._write = write_then_start_outage
         start_ms = setup.clock.now_ms()
         result = await setup.publish(2)
@@ -309,7 +313,7 @@
         assert production is None
         return
     assert production.record.text == trial.record.text == document(1)
-    assert production.record.digest == digest_of(production.record.text)
+    assert production.record.digest == document_digest(production.record.text)
     assert production.record.digest == trial.record.digest
     assert production.record.source_revision == trial.record.revision
     assert production.record.override_reason == override
--- a/chestnuthall/daemon/_instance.py
+++ b/chestnuthall/daemon/_instance.py
@@ -8,7 +8,7 @@
 from chestnuthall.adapters.callers import (
     AdminRoutes,
     CallerFrontend,
-    respond_to_http_error,
+    encode_http_error,
 )
 from chestnuthall.adapters.clock import LoopClock
 from chestnuthall.adapters.documents import (
@@ -238,7 +238,7 @@
             admin_routes=AdminRoutes(self.administration).routes(),
         )
         self.http_server = HttpServer(
-            self.frontend.handle, _make_server_limits(settings), respond_to_http_error
+            self.frontend.handle, _make_server_limits(settings), encode_http_error
         )
         self.peer_server = GrpcPeerServer(self.membership)
         self._tasks: list[asyncio.Task[None]] = []
--- a/chestnuthall/daemon/_main.py
+++ b/chestnuthall/daemon/_main.py
@@ -8,7 +8,7 @@
 
 from cyclopts import App, Parameter
 
-from chestnuthall.adapters.logs import RateLimitFilter, set_up_logs
+from chestnuthall.adapters.logs import RateLimitFilter, configure_logging
 from chestnuthall.adapters.settings import InstanceSettings, read_settings
 from chestnuthall.core.results import Failure
 from chestnuthall.daemon._instance import EntryInstance
@@ -34,7 +34,7 @@
     settings = read_settings(text, str(settings_file))
     if isinstance(settings, Failure):
         _exit_with_error(settings.reason)
-    log_limit = set_up_logs(settings.log_level, settings.name)
+    log_limit = configure_logging(settings.log_level, settings.name)
     asyncio.run(_run(settings, log_limit))
 
 
--- a/chestnuthall/daemon/tests/shared_store_fleet.py
+++ b/chestnuthall/daemon/tests/shared_store_fleet.py
@@ -8,7 +8,7 @@
 from chestnuthall.adapters.documents import (
     ConfigurationModel,
     JsonPartitionCodec,
-    digest_of,
+    document_digest,
     encode_configuration,
     read_configuration,
 )
@@ -35,7 +35,7 @@
         ConfigurationModel(
             environment=environment,
             revision=revision,
-            digest=digest_of(document),
+            digest=document_digest(document),
             text=document,
         )
     )
--- a/chestnuthall/platform/_dialect.py
+++ b/chestnuthall/platform/_dialect.py
@@ -9,7 +9,7 @@
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
 from chestnuthall.adapters.http import HttpRequest, HttpResponse
-from chestnuthall.adapters.objectapi import ListPage, failure_of_status
+from chestnuthall.adapters.objectapi import ListPage, failure_from_status
 from chestnuthall.core.results import (
     OBJECT_NOT_FOUND,
     STORE_UNAVAILABLE,
@@ -130,12 +130,12 @@
         query = f"?Watch={after_version}&WaitMs={timeout_ms:.0f}"
         return HttpRequest("GET", self._kind_path(kind) + query)
 
-    def read_object(
+    def decode_object(
         self, kind: str, name: str, response: HttpResponse
     ) -> StoredObject | Failure:
         """Decode the response to a read of one object."""
         if kind in self.singleton_names:
-            page = self.read_list(kind, response)
+            page = self.decode_list(kind, response)
             if isinstance(page, Failure):
                 return page
             stored_name = self.singleton_names[kind]
@@ -146,29 +146,29 @@
                     )
             return OBJECT_NOT_FOUND.with_reason(f"no object {stored_name!r}")
         if response.status != 200:
-            return failure_of_status(response)
+            return failure_from_status(response)
         try:
             return _Object.model_validate_json(response.body).to_stored_object(kind)
         except ValidationError:
             return STORE_UNAVAILABLE.with_reason("the store sent an invalid object")
 
-    def read_list(self, kind: str, response: HttpResponse) -> ListPage | Failure:
+    def decode_list(self, kind: str, response: HttpResponse) -> ListPage | Failure:
         """Decode one page of a list; invalid entries are left out."""
         if response.status != 200:
-            return failure_of_status(response)
+            return failure_from_status(response)
         try:
             listed = _ListResponse.model_validate_json(response.body)
         except ValidationError:
             return STORE_UNAVAILABLE.with_reason("the store sent an invalid list")
         objects = tuple(
             item.to_stored_object(kind, listed.version)
-            for item in map(_read_object, listed.items)
+            for item in map(_decode_object, listed.items)
             if item is not None
         )
         last = objects[-1].name if objects and listed.has_more else ""
         return ListPage(objects, last, listed.version)
 
-    def read_written(self, kind: str, response: HttpResponse) -> StoredObject | Failure:
+    def decode_write(self, kind: str, response: HttpResponse) -> StoredObject | Failure:
         """Decode the response to a write.
 
         The failure tells whether the write may have taken effect.
@@ -178,16 +178,16 @@
                 "the store refused the write with status 503"
             )
         if response.status not in (200, 201):
-            return failure_of_status(response)
+            return failure_from_status(response)
         try:
             return _Object.model_validate_json(response.body).to_stored_object(kind)
         except ValidationError:
             return STORE_WRITE_UNKNOWN.with_reason("the store sent an invalid object")
 
-    def read_watch(self, kind: str, response: HttpResponse) -> WatchBatch | Failure:
+    def decode_watch(self, kind: str, response: HttpResponse) -> WatchBatch | Failure:
         """Decode a watch response, keeping the last event of each object."""
         if response.status != 200:
-            return failure_of_status(response)
+            return failure_from_status(response)
         try:
             watched = _WatchResponse.model_validate_json(response.body)
         except ValidationError:
@@ -225,7 +225,7 @@
 SINGLETON_NAME = "platform"
 
 
-def _read_object(item: object) -> _Object | None:
+def _decode_object(item: object) -> _Object | None:
     try:
         return _Object.model_validate(item)
     except ValidationError:
--- a/chestnuthall/platform/_frontend.py
+++ b/chestnuthall/platform/_frontend.py
@@ -65,7 +65,7 @@
 
     async def _serve(self, call: RelayCall | None) -> HttpResponse:
         if call is None:
-            return respond_to_http_error(400, "the request has no id")
+            return encode_http_error(400, "the request has no id")
         self._lifecycle.begin_request()
         try:
             return encode(await self._relay.serve(call))
@@ -176,7 +176,7 @@
     return HttpResponse(status, headers, f"{failure.reason}\n".encode())
 
 
-def respond_to_http_error(status: int, reason: str) -> HttpResponse:
+def encode_http_error(status: int, reason: str) -> HttpResponse:
     """Return the response to a request that is invalid or cannot be served."""
     headers = {b"content-type": b"text/plain; charset=utf-8"}
     return HttpResponse(status, headers, f"{reason}\n".encode())
--- a/chestnuthall/platform/_instance.py
+++ b/chestnuthall/platform/_instance.py
@@ -6,17 +6,17 @@
 from random import Random
 
 from chestnuthall.adapters.clock import LoopClock
-from chestnuthall.adapters.feeds import FeedFrontend, HttpPeerFeeds
+from chestnuthall.adapters.feeds import FeedHandler, HttpFeedClient
 from chestnuthall.adapters.http import (
     HttpRequest,
     HttpResponse,
     HttpServer,
-    KeepAliveProbes,
     PoolSettings,
     ServerLimits,
+    TcpKeepAlive,
 )
 from chestnuthall.adapters.logs import RateLimitFilter
-from chestnuthall.adapters.metrics import CONTENT_TYPE, ExpositionMetrics
+from chestnuthall.adapters.metrics import CONTENT_TYPE, PrometheusMetrics
 from chestnuthall.adapters.objectapi import HttpObjectStore
 from chestnuthall.adapters.upstreams import HttpShardCaller
 from chestnuthall.core.configuration import (
@@ -38,7 +38,7 @@
 from chestnuthall.platform._frontend import (
     ReadinessFrontend,
     RelayFrontend,
-    respond_to_http_error,
+    encode_http_error,
 )
 from chestnuthall.platform._instances import read_instance, write_instance
 from chestnuthall.platform._peer_calls import PeerCodec, PeerFrontend
@@ -81,7 +81,7 @@
 )
 # Detect an unresponsive connection to the store within 3 s, well before the deadline
 # for a new configuration to be in force.
-STORE_PROBES = KeepAliveProbes(idle_s=1, interval_s=1, n_probes=2)
+STORE_PROBES = TcpKeepAlive(idle_s=1, interval_s=1, n_probes=2)
 # Registrations that lapsed while the store was unavailable are renewed within about
 # 2 s of its return.
 REGISTRATION_RETENTION_MS = 2_200.0
@@ -111,7 +111,7 @@
 # unreachable.
 PEER_CONNECT_TIMEOUT_MS = 20.0
 # Detect unresponsive peers, whose connections are then closed.
-PEER_PROBES = KeepAliveProbes(idle_s=1, interval_s=1, n_probes=1)
+PEER_PROBES = TcpKeepAlive(idle_s=1, interval_s=1, n_probes=1)
 # Bytes by which a peer may extend the headers of the caller's request.
 N_PEER_HEADER_BYTES = 512
 METRICS_PATH = "/metrics"
@@ -151,18 +151,18 @@
         self._log_limit = log_limit
         self._clock = clock = LoopClock()
         random = Random()
-        self._metrics = metrics = ExpositionMetrics()
+        self._metrics = metrics = PrometheusMetrics()
         self._decisions = DecisionLog(clock, metrics, _call_soon)
         store = CountedObjectStore(
             HttpObjectStore(settings.store_address, DIALECT, STORE_PROBES),
             metrics,
             clock,
         )
-        self._feeds = HttpPeerFeeds(PEER_PROBES)
+        self._feed_client = HttpFeedClient(PEER_PROBES)
         shared = SharedObjectStore(
             store,
             clock,
-            self._feeds,
+            self._feed_client,
             (ENVIRONMENT_KIND, REGISTRATION_KIND),
             FeedTiming(min(settings.configuration_deadline_ms, settings.drain_ms)),
             LeaderSelector(settings.name),
@@ -181,7 +181,7 @@
             RelayCodec(),
             PoolSettings(
                 connect_timeout_ms=CONNECT_TIMEOUT_MS,
-                n_warm=N_WARM_CONNECTIONS,
+                n_connections_warm=N_WARM_CONNECTIONS,
                 idle_close_ms=IDLE_CLOSE_MS,
             ),
             settings.name,
@@ -263,17 +263,17 @@
         self.caller_server = HttpServer(
             frontend.handle,
             ServerLimits(cancels_at_eof=True),
-            respond_to_http_error,
+            encode_http_error,
         )
         self.peer_server = HttpServer(
             PeerFrontend(
                 frontend,
-                FeedFrontend(shared.feed, shared.known).handle,
+                FeedHandler(shared.feed, shared.known).handle,
                 self.is_ready,
                 lambda: self.configuration.revision,
             ).handle,
             ServerLimits(cancels_at_eof=True),
-            respond_to_http_error,
+            encode_http_error,
         )
         self.readiness_server = HttpServer(ReadinessFrontend(self.is_ready).handle)
         self.metrics_server = HttpServer(self._serve_metrics)
@@ -288,7 +288,7 @@
             PoolSettings(
                 n_connections_max=N_PEER_CONNECTIONS,
                 connect_timeout_ms=PEER_CONNECT_TIMEOUT_MS,
-                n_warm=1,
+                n_connections_warm=1,
                 probes=PEER_PROBES,
             ),
             self.settings.name,
@@ -317,7 +317,7 @@
             return HttpResponse(404)
         self._set_gauges()
         headers = {b"content-type": CONTENT_TYPE}
-        return HttpResponse(200, headers, self._metrics.text())
+        return HttpResponse(200, headers, self._metrics.render())
 
     def _set_gauges(self) -> None:
         metrics = self._metrics
@@ -334,7 +334,7 @@
         self.caller_server.limits = ServerLimits(
             n_header_bytes_max=limits.n_header_bytes_max,
             n_body_bytes_max=limits.n_body_bytes_max,
-            head_timeout_ms=limits.header_timeout_ms,
+            header_timeout_ms=limits.header_timeout_ms,
             idle_timeout_ms=limits.idle_timeout_ms,
             cancels_at_eof=True,
         )
@@ -390,9 +390,9 @@
         Callers then reconnect through the balancer, to another instance.
         """
         is_able = self._can_serve()
-        if self.caller_server.ends_connections == (not is_able):
+        if self.caller_server.closes_connections == (not is_able):
             return
-        self.caller_server.ends_connections = not is_able
+        self.caller_server.closes_connections = not is_able
         _log.warning(
             "ability to serve changed",
             extra={
@@ -425,7 +425,7 @@
         await self.metrics_server.close()
         self._caller.close()
         self._peer_caller.close()
-        self._feeds.close()
+        self._feed_client.close()
 
 
 async def _listen(server: HttpServer, address: str) -> None:
--- a/chestnuthall/platform/_main.py
+++ b/chestnuthall/platform/_main.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import NoReturn
 
-from chestnuthall.adapters.logs import RateLimitFilter, set_up_logs
+from chestnuthall.adapters.logs import RateLimitFilter, configure_logging
 from chestnuthall.core.results import Failure
 from chestnuthall.platform._instance import PlatformInstance
 from chestnuthall.platform._settings import PlatformSettings, read_settings
@@ -28,7 +28,9 @@
     settings = read_settings(text, str(settings_file))
     if isinstance(settings, Failure):
         _fail(settings.reason)
-    log_limit = set_up_logs(settings.log_level, settings.name, (DECISION_LOGGER_NAME,))
+    log_limit = configure_logging(
+        settings.log_level, settings.name, (DECISION_LOGGER_NAME,)
+    )
     # A full garbage collection would block the event loop for tens of milliseconds
     # to traverse the imported modules, which are never freed.
     gc.collect()
--- a/chestnuthall/platform/_peer_calls.py
+++ b/chestnuthall/platform/_peer_calls.py
@@ -12,7 +12,7 @@
     NOT_RUN_STATUS,
     TOO_MANY_REQUESTS_STATUS,
     RelayFrontend,
-    respond_to_http_error,
+    encode_http_error,
 )
 from chestnuthall.platform._relayed_calls import (
     DEADLINE_MS,
@@ -37,7 +37,7 @@
     The request is that of the caller, with the shards that the peer has to search.
     """
 
-    closes_to_cancel = True
+    cancels_by_closing = True
 
     def __init__(self, revision: Callable[[], int]) -> None:
         self._revision = revision
@@ -61,7 +61,7 @@
             request.method, request.target, dict(pairs), request.body, pairs
         )
 
-    def read_answer(
+    def decode_answer(
         self, call: ShardCall, response: HttpResponse
     ) -> ShardAnswer | Failure:
         """Decode the answer of the peer; return a failure if there is none."""
@@ -111,7 +111,7 @@
         shard_ids = headers[SHARD_IDS].decode("latin-1")
         has_same_revision = read_number(headers.get(REVISION)) == self._revision()
         if not self._is_ready() or not has_same_revision:
-            return respond_to_http_error(NOT_RUN_STATUS, "not ready for this search")
+            return encode_http_error(NOT_RUN_STATUS, "not ready for this search")
         return await self._frontend.handle_shard_set(
             request,
             frozenset(shard_ids.split(",")),
--- a/chestnuthall/platform/_relayed_calls.py
+++ b/chestnuthall/platform/_relayed_calls.py
@@ -91,7 +91,7 @@
 class RelayCodec:
     """Encodes relayed requests and validates the replies of replicas."""
 
-    closes_to_cancel = True
+    cancels_by_closing = True
 
     def encode_call(self, call: ShardCall, remaining_ms: float) -> HttpRequest:
         """Return the caller's request as it is sent to one replica."""
@@ -106,7 +106,7 @@
             request.method, request.target, dict(pairs), request.body, pairs
         )
 
-    def read_answer(
+    def decode_answer(
         self, call: ShardCall, response: HttpResponse
     ) -> ShardAnswer | Failure:
         """Return the reply of the replica, or a failure if the response is invalid."""
--- a/chestnuthall/platform/tests/test_dialect.py
+++ b/chestnuthall/platform/tests/test_dialect.py
@@ -105,11 +105,11 @@
 
 def test_list_skips_invalid_entries_and_states_the_next_page():
     items = [stored_object("a"), {"meta": 3}, "junk", stored_object("b")]
-    page = DIALECT.read_list(
+    page = DIALECT.decode_list(
         KIND, response(200, {"items": items, "More": True, "At": 9})
     )
     assert [item.name for item in page.objects] == ["a", "b"]
-    assert (page.next_after, page.version) == ("b", 9)
+    assert (page.next_cursor, page.version) == ("b", 9)
     assert page.objects[0].seen_version == 9
 
 
@@ -121,20 +121,20 @@
         {"Object": stored_object("b", 9, "y"), "Deleted": False},
         {"Object": None},
     ]
-    batch = DIALECT.read_watch(KIND, response(200, {"events": events, "At": 9}))
+    batch = DIALECT.decode_watch(KIND, response(200, {"events": events, "At": 9}))
     assert [(item.name, item.version) for item in batch.changed] == [("b", 9)]
     assert (batch.deleted_names, batch.version) == (("a",), 9)
 
 
 # (case, method of the dialect, status, body, kind of failure)
 FAILURES = [
-    ("history trimmed", "read_watch", 410, None, "HISTORY_TRIMMED"),
-    ("unavailable", "read_watch", 503, None, "STORE_UNAVAILABLE"),
-    ("too many calls", "read_list", 429, None, "RATE_LIMITED"),
-    ("not a list", "read_list", 200, {"x": 1}, "STORE_UNAVAILABLE"),
-    ("create of an existing object", "read_written", 409, None, "OBJECT_CONFLICT"),
-    ("refused write", "read_written", 503, None, "STORE_UNAVAILABLE"),
-    ("write with an invalid response", "read_written", 200, {}, "STORE_WRITE_UNKNOWN"),
+    ("history trimmed", "decode_watch", 410, None, "HISTORY_TRIMMED"),
+    ("unavailable", "decode_watch", 503, None, "STORE_UNAVAILABLE"),
+    ("too many calls", "decode_list", 429, None, "RATE_LIMITED"),
+    ("not a list", "decode_list", 200, {"x": 1}, "STORE_UNAVAILABLE"),
+    ("create of an existing object", "decode_write", 409, None, "OBJECT_CONFLICT"),
+    ("refused write", "decode_write", 503, None, "STORE_UNAVAILABLE"),
+    ("write with an invalid response", "decode_write", 200, {}, "STORE_WRITE_UNKNOWN"),
 ]
 
 
@@ -154,13 +154,13 @@
         "items": [stored_object("other"), stored_object("main", 3, {"v": 1})],
         "At": 12,
     }
-    found = DIALECT.read_object(ENVIRONMENT_KIND, SINGLETON_NAME, response(200, body))
+    found = DIALECT.decode_object(ENVIRONMENT_KIND, SINGLETON_NAME, response(200, body))
     assert (found.name, found.value, found.seen_version) == (
         SINGLETON_NAME,
         '{"v": 1}',
         12,
     )
-    missing = PlatformDialect(singleton_names={"k": "main"}).read_object(
+    missing = PlatformDialect(singleton_names={"k": "main"}).decode_object(
         "k", SINGLETON_NAME, response(200, {"items": [], "At": 12})
     )
     assert missing.kind.name == "OBJECT_NOT_FOUND"
--- a/chestnuthall/platform/tests/test_peer_calls.py
+++ b/chestnuthall/platform/tests/test_peer_calls.py
@@ -68,7 +68,7 @@
 
 def n_served(instance, kind):
     """Return the number of requests of a kind that an instance completed."""
-    text = instance._metrics.text().decode()
+    text = instance._metrics.render().decode()
     return sum(
         float(line.rpartition(" ")[2])
         for line in text.splitlines()
--- a/chestnuthall/platform/tests/test_whole_path.py
+++ b/chestnuthall/platform/tests/test_whole_path.py
@@ -332,7 +332,7 @@
             await set_up_search(deployment)
             await deployment.send("/sweep/x")
             deployment.instance._set_gauges()
-            return deployment.instance._metrics.text().decode()
+            return deployment.instance._metrics.render().decode()
 
     text = asyncio.run(scenario())
     assert 'chestnuthall_requests_total{of="scatter.ok"} 1.0' in text
--- a/chestnuthall/ports/_operators.py
+++ b/chestnuthall/ports/_operators.py
@@ -59,7 +59,7 @@
         """Return the state that an upstream reports: ready, draining or unwell."""
         ...
 
-    async def announce(
+    async def offer_configuration(
         self, address: str, stored_text: str, timeout_ms: float
     ) -> int | Failure:
         """Send an accepted configuration; return the revision then in force."""
--- a/chestnuthall/ports/_peers.py
+++ b/chestnuthall/ports/_peers.py
@@ -124,7 +124,7 @@
         """Probe a peer and exchange digests."""
         ...
 
-    async def probe_for(
+    async def probe_indirectly(
         self, address: str, target_address: str, timeout_ms: float
     ) -> bool | Failure:
         """Probe an instance through a peer; return whether the instance answered."""
@@ -150,7 +150,7 @@
         """Process the digest of a peer and return that of this instance."""
         ...
 
-    async def probe_for(self, target_address: str) -> bool:
+    async def probe_indirectly(self, target_address: str) -> bool:
         """Probe another instance on behalf of a peer."""
         ...
 
--- a/chestnuthall/services/_fleet_view.py
+++ b/chestnuthall/services/_fleet_view.py
@@ -138,7 +138,9 @@
 
     async def _announce(self, listed: InstanceSummary, text: str) -> int | Failure:
         async with self._request_slots:
-            return await self._admin.announce(listed.address, text, ADMIN_TIMEOUT_MS)
+            return await self._admin.offer_configuration(
+                listed.address, text, ADMIN_TIMEOUT_MS
+            )
 
     async def wait_in_force(
         self,
--- a/chestnuthall/services/_membership.py
+++ b/chestnuthall/services/_membership.py
@@ -177,7 +177,7 @@
         self._process_digest(digest)
         return self.digest(digest.sender)
 
-    async def probe_for(self, target_address: str) -> bool:
+    async def probe_indirectly(self, target_address: str) -> bool:
         """Probe another instance on behalf of a peer."""
         answer = await self._peers.exchange(
             target_address, self.digest(), self._settings.probe_timeout_ms
@@ -293,7 +293,7 @@
         self._process_digest(answer)
 
     async def _probe_indirectly(self, action: IndirectProbe) -> None:
-        is_alive = await self._peers.probe_for(
+        is_alive = await self._peers.probe_indirectly(
             action.helper_address,
             action.target_address,
             self._settings.indirect_timeout_ms,
--- a/chestnuthall/services/_service_directory.py
+++ b/chestnuthall/services/_service_directory.py
@@ -57,11 +57,11 @@
 class ReplicaConnections(Protocol):
     """Connections that are opened and closed as replicas register and leave."""
 
-    def prepare(self, replica: Replica, shard_id: str) -> None:
+    def open_connections(self, replica: Replica, shard_id: str) -> None:
         """Open connections to a replica ahead of the first call."""
         ...
 
-    def forget(self, address: str) -> None:
+    def close_connections(self, address: str) -> None:
         """Close the connections to a replica that has left."""
         ...
 
@@ -243,12 +243,12 @@
         now_ms = self._clock.now_ms()
         if change.kind is ReplicaChangeKind.RESTARTED and change.old is not None:
             self._router.remove(replica.name)
-            self._connections.forget(change.old.replica.address)
+            self._connections.close_connections(change.old.replica.address)
         if change.kind is ReplicaChangeKind.REMOVED:
             self._router.remove(replica.name)
             self._close_connections(replica.address)
         if change.kind in (ReplicaChangeKind.ADDED, ReplicaChangeKind.RESTARTED):
-            self._connections.prepare(replica, change.new.service)
+            self._connections.open_connections(replica, change.new.service)
             if change.new.warm_up_left_ms > 0.0:
                 self._router.start_ramp_up(replica.name, now_ms)
         _log.info(
@@ -269,7 +269,7 @@
             item.replica.address == address for item in self._registry.registrations()
         )
         if not in_use:
-            self._connections.forget(address)
+            self._connections.close_connections(address)
 
     def _schedule_expiry(self) -> None:
         if self._expiry_timer is not None:
--- a/chestnuthall/services/_shared_store.py
+++ b/chestnuthall/services/_shared_store.py
@@ -42,7 +42,7 @@
         self,
         store: ObjectStore,
         clock: Clock,
-        feeds: FeedClient,
+        feed_client: FeedClient,
         kinds: Collection[str],
         timing: FeedTiming,
         selector: LeaderSelector,
@@ -51,7 +51,7 @@
     ) -> None:
         self._store = store
         self._clock = clock
-        self._peer_feeds = feeds
+        self._feed_client = feed_client
         self._timing = timing
         self._leader_selector = selector
         self._near_peers = near_peers
@@ -112,7 +112,9 @@
         one that starts during an outage of the store.
         """
         for address in self._peer_addresses():
-            answer = await self._peer_feeds.snapshot(address, kind, SNAPSHOT_TIMEOUT_MS)
+            answer = await self._feed_client.snapshot(
+                address, kind, SNAPSHOT_TIMEOUT_MS
+            )
             if isinstance(answer, Failure) or not self._is_better(answer, feed):
                 continue
             batch = answer.batch
@@ -219,7 +221,7 @@
     ) -> WatchBatch:
         """Watch a leader; an empty batch if it failed and another must be tried."""
         self._kinds_from_store.discard(kind)
-        answer = await self._peer_feeds.watch(
+        answer = await self._feed_client.watch(
             leader.address, kind, after_version, min(left_ms, LEADER_WATCH_TIMEOUT_MS)
         )
         if not isinstance(answer, Failure):
--- a/chestnuthall/standins/fleet/_fleet.py
+++ b/chestnuthall/standins/fleet/_fleet.py
@@ -9,7 +9,7 @@
 from chestnuthall.adapters.documents import (
     ConfigurationModel,
     InstanceModel,
-    digest_of,
+    document_digest,
     encode_configuration,
     encode_instance,
     encode_partition_map,
@@ -231,7 +231,7 @@
         model = ConfigurationModel(
             environment=self.plan.environment,
             revision=revision,
-            digest=digest_of(text),
+            digest=document_digest(text),
             text=text,
         )
         target = f"/v1/objects/environments/{self.plan.environment}"
--- a/chestnuthall/standins/peers/_network.py
+++ b/chestnuthall/standins/peers/_network.py
@@ -100,12 +100,14 @@
             address, timeout_ms, lambda service: service.receive(digest)
         )
 
-    async def probe_for(
+    async def probe_indirectly(
         self, address: str, target_address: str, timeout_ms: float
     ) -> bool | Failure:
         """Request an indirect probe from a peer; return whether the target answered."""
         return await self._call(
-            address, timeout_ms, lambda service: service.probe_for(target_address)
+            address,
+            timeout_ms,
+            lambda service: service.probe_indirectly(target_address),
         )
 
     async def fetch_configuration(
