--- a/benchmarks/_fleet.py
+++ b/benchmarks/_fleet.py
@@ -19,10 +19,10 @@
 from chestnuthall.services import (
     Admissions,
     ClaimLedger,
-    ConfigurationKeeper,
+    ConfigurationManager,
     Directory,
     FleetUsageExchange,
-    Identity,
+    InstanceIdentity,
     InstanceList,
     Membership,
     QueryService,
@@ -44,13 +44,13 @@
         self.zone = deployment.zones[index % len(deployment.zones)]
         clock = fleet.clock
         random = Random(f"{fleet.seed}/{self.name}")
-        identity = Identity(self.name, self.name, self.zone)
+        identity = InstanceIdentity(self.name, self.name, self.zone)
         store = FixedStore(clock, lambda: tuple(sorted(fleet.alive)))
         peers = DirectPeers(
             fleet.peer_services, fleet.alive, clock, deployment.zone_delay_ms
         )
         self.caller = ModelCaller(fleet.upstreams, self.zone, clock)
-        self.configuration = ConfigurationKeeper(
+        self.configuration = ConfigurationManager(
             "trial",
             store,
             clock,
--- a/benchmarks/_processor_time.py
+++ b/benchmarks/_processor_time.py
@@ -29,9 +29,9 @@
 from chestnuthall.services import (
     Admissions,
     ClaimLedger,
-    ConfigurationKeeper,
+    ConfigurationManager,
     Directory,
-    Identity,
+    InstanceIdentity,
     QueryService,
 )
 from chestnuthall.standins.fleet import FleetPlan, GroupPlan, LocalFleet
@@ -162,11 +162,11 @@
     partition_map: PartitionMap, document: EnvironmentDocument
 ) -> tuple[QueryService, SearchCaller]:
     clock = LoopClock()
-    identity = Identity("entry-0", "", "zone-a")
+    identity = InstanceIdentity("entry-0", "", "zone-a")
     store = FixedStore(clock, tuple)
     caller = SearchCaller(clock)
     caller.set_connection_budget("g", 8)
-    keeper = ConfigurationKeeper(
+    manager = ConfigurationManager(
         "trial", store, clock, lambda text: INVALID_REQUEST.with_reason("unused")
     )
     directory = Directory(
@@ -183,13 +183,13 @@
         metrics=NullMetrics(),
         caller=caller,
         directory=directory,
-        configuration=keeper,
+        configuration=manager,
         admissions=Admissions(clock),
         ledger=ClaimLedger(store, clock, JsonPartitionCodec(), LedgerSettings()),
         quarantine=QuarantineRegistry(QuarantineSettings()),
     )
     directory.add_map(partition_map)
-    keeper.offer(
+    manager.offer(
         Configuration(
             environment="trial", revision=1, digest="", text="", document=document
         ),
--- a/benchmarks/store_calls.py
+++ b/benchmarks/store_calls.py
@@ -22,7 +22,7 @@
     add_claims,
 )
 from chestnuthall.core.model import MutationRequest
-from chestnuthall.services import ClaimLedger, CountedObjectStore
+from chestnuthall.services import ClaimLedger, CountingObjectStore
 from chestnuthall.standins.fleet import FleetPlan, GroupPlan, LocalFleet
 from chestnuthall.standins.objectapi import (
     MemoryObjectStore,
@@ -110,7 +110,7 @@
     settings = LedgerSettings(n_partitions=n_partitions)
     ledgers = [
         ClaimLedger(
-            CountedObjectStore(MemoryObjectStore(service), NullMetrics(), clock),
+            CountingObjectStore(MemoryObjectStore(service), NullMetrics(), clock),
             clock,
             JsonPartitionCodec(),
             settings,
--- a/chestnuthall/cli/_account_commands.py
+++ b/chestnuthall/cli/_account_commands.py
@@ -96,7 +96,7 @@
 ) -> tuple[EnvironmentDocument, int]:
     session = open_session(common)
     environment = env or session.profile.production_environment
-    found = await session.revision_book.in_force(environment)
+    found = await session.revision_repository.in_force(environment)
     if isinstance(found, Failure):
         raise CommandError(
             f"cannot read the document in force: {found.reason}", ExitCode.UNAVAILABLE
--- a/chestnuthall/cli/_burn_commands.py
+++ b/chestnuthall/cli/_burn_commands.py
@@ -58,7 +58,7 @@
     session: Session, environment: str, html: Path | None, alarm: bool
 ) -> ExitCode:
     output = session.output
-    in_force = await session.revision_book.in_force(environment)
+    in_force = await session.revision_repository.in_force(environment)
     if isinstance(in_force, Failure):
         return output.report_failure(in_force)
     if in_force is None:
--- a/chestnuthall/cli/_document_commands.py
+++ b/chestnuthall/cli/_document_commands.py
@@ -138,7 +138,7 @@
     session: Session, environment: str, text: str, document: EnvironmentDocument
 ) -> ExitCode:
     output = session.output
-    in_force = await session.revision_book.in_force(environment)
+    in_force = await session.revision_repository.in_force(environment)
     if isinstance(in_force, Failure):
         return output.report_failure(in_force)
     old = None if in_force is None else read_environment(in_force.record.text)
@@ -213,16 +213,16 @@
     session: Session, text: str, reason: str, expect_revision: int | None
 ) -> ExitCode:
     environment = session.profile.trial_environment
-    base = await session.revision_book.in_force(environment)
+    base = await session.revision_repository.in_force(environment)
     if isinstance(base, Failure):
         return session.output.report_failure(base)
     if _has_same_digest(base, text) and expect_revision is None:
         return _report_already_in_force(session, base)
-    draft = session.publication.draft(
+    draft = session.publisher.draft(
         environment, text, document_digest(text), session.profile.operator, reason
     )
     with session.output.progress("writing to the store"):
-        outcome = await session.publication.publish(draft, base, expect_revision)
+        outcome = await session.publisher.publish(draft, base, expect_revision)
     return await report_write_result(session, outcome)
 
 
@@ -302,7 +302,7 @@
 
 
 async def _history(session: Session, environment: str, last: int) -> ExitCode:
-    found = await session.revision_book.history(environment)
+    found = await session.revision_repository.history(environment)
     if isinstance(found, Failure):
         return session.output.report_failure(found)
     records = found.records[-max(1, last) :]
@@ -363,7 +363,7 @@
 
 async def _show(session: Session, environment: str, revision: int | None) -> ExitCode:
     output = session.output
-    found = await session.revision_book.history(environment)
+    found = await session.revision_repository.history(environment)
     if isinstance(found, Failure):
         return output.report_failure(found)
     record = found.find(found.last_revision if revision is None else revision)
--- a/chestnuthall/cli/_fleet_commands.py
+++ b/chestnuthall/cli/_fleet_commands.py
@@ -75,7 +75,7 @@
 async def _query_status(
     session: Session, upstreams: bool
 ) -> tuple[tuple[InstanceObservation, ...], tuple[ReplicaObservation, ...]] | Failure:
-    listed = await session.fleet.listed()
+    listed = await session.fleet.list_instances()
     if isinstance(listed, Failure):
         return listed
     entries = tuple(item for item in listed if item.role == "entry")
--- a/chestnuthall/cli/_promotion.py
+++ b/chestnuthall/cli/_promotion.py
@@ -17,16 +17,20 @@
 
 async def gather_evidence(session: Session) -> TrialEvidence | Failure | None:
     """Return the evidence from trial; None if it has no document in force."""
-    in_force = await session.revision_book.in_force(session.profile.trial_environment)
+    in_force = await session.revision_repository.in_force(
+        session.profile.trial_environment
+    )
     if in_force is None or isinstance(in_force, Failure):
         return in_force
-    instances = await session.fleet.entries()
+    instances = await session.fleet.list_entry_instances()
     if isinstance(instances, Failure):
         return instances
     burn = await session.read_burn_report(in_force.record)
     if isinstance(burn, Failure):
         return burn
-    return await session.fleet.evidence(in_force.record, instances, burn.fast_classes)
+    return await session.fleet.gather_trial_evidence(
+        in_force.record, instances, burn.fast_classes
+    )
 
 
 async def show_evidence(session: Session) -> ExitCode:
@@ -92,7 +96,7 @@
     if isinstance(found, Failure):
         return output.report_failure(found)
     with output.progress("writing to the store"):
-        outcome = await session.publication.promote(
+        outcome = await session.publisher.promote(
             found,
             session.profile.production_environment,
             session.promotion_policy,
--- a/chestnuthall/cli/_session.py
+++ b/chestnuthall/cli/_session.py
@@ -25,7 +25,12 @@
 from chestnuthall.core.configuration import PromotionPolicy, RevisionRecord
 from chestnuthall.core.results import Failure
 from chestnuthall.ports import InstanceSummary
-from chestnuthall.services import FleetView, Publication, RevisionBook, read_burn
+from chestnuthall.services import (
+    ConfigurationPublisher,
+    FleetView,
+    RevisionRepository,
+    read_burn_counts,
+)
 
 PROFILE_VARIABLE = "CHESTNUTHALL_PROFILE"
 PROFILE_DEFAULT = Path("chestnuthall.jsonc")
@@ -62,8 +67,8 @@
     output: Output
     store: HttpObjectStore
     fleet: FleetView
-    revision_book: RevisionBook
-    publication: Publication
+    revision_repository: RevisionRepository
+    publisher: ConfigurationPublisher
     clock: LoopClock
 
     @property
@@ -76,7 +81,7 @@
 
     async def read_burn_report(self, record: RevisionRecord) -> BurnReport | Failure:
         """Return the burn report of an environment under its document in force."""
-        counts = await read_burn(self.store, JsonBurnCodec(), record.environment)
+        counts = await read_burn_counts(self.store, JsonBurnCodec(), record.environment)
         if isinstance(counts, Failure):
             return counts
         document = read_environment(record.text)
@@ -160,7 +165,9 @@
         _read_instance_summary,
         read_partition_map,
     )
-    revision_book = RevisionBook(store, clock, JsonRevisionCodec(), read_environment)
-    publication = Publication(revision_book, fleet, lambda: token_hex(8))
+    revision_repository = RevisionRepository(
+        store, clock, JsonRevisionCodec(), read_environment
+    )
+    publisher = ConfigurationPublisher(revision_repository, fleet, lambda: token_hex(8))
     output = Output(common.json)
-    return Session(profile, output, store, fleet, revision_book, publication, clock)
+    return Session(profile, output, store, fleet, revision_repository, publisher, clock)
--- a/chestnuthall/cli/_write_report.py
+++ b/chestnuthall/cli/_write_report.py
@@ -7,11 +7,11 @@
 from chestnuthall.cli._session import Session
 from chestnuthall.core.configuration import RevisionRecord
 from chestnuthall.core.results import Failure
-from chestnuthall.services import Accepted, InstanceObservation, RaceLost
+from chestnuthall.services import InstanceObservation, RaceLost, RevisionAccepted
 
 
 async def report_write_result(
-    session: Session, outcome: Accepted | RaceLost | Failure
+    session: Session, outcome: RevisionAccepted | RaceLost | Failure
 ) -> ExitCode:
     """Print the outcome of a write; if accepted, wait until it is in force."""
     output = session.output
@@ -58,10 +58,10 @@
     return ExitCode.OK
 
 
-async def _wait_in_force(session: Session, accepted: Accepted) -> ExitCode:
+async def _wait_in_force(session: Session, accepted: RevisionAccepted) -> ExitCode:
     output = session.output
     record = accepted.record
-    instances = accepted.instances or await session.fleet.entries()
+    instances = accepted.instances or await session.fleet.list_entry_instances()
     if isinstance(instances, Failure):
         message = f"accepted, but cannot list the instances: {instances.reason}"
         return output.report_error(
--- a/chestnuthall/cli/tests/test_burn_flush.py
+++ b/chestnuthall/cli/tests/test_burn_flush.py
@@ -15,7 +15,7 @@
 from chestnuthall.core.burn.tests.test_burn import account
 from chestnuthall.core.model import Configuration, Refusal
 from chestnuthall.core.results import QUEUE_FULL, ResultCode
-from chestnuthall.services import BurnRecorder, ConfigurationKeeper, read_burn
+from chestnuthall.services import BurnRecorder, ConfigurationManager, read_burn_counts
 
 TEXT = (
     '{"classes": {"clerk": {"share": 1, "deadline_ms": 900}},'
@@ -24,7 +24,7 @@
 
 
 def make_recorder(store, writer, n_instances):
-    keeper = ConfigurationKeeper("trial", store, FakeClock(), read_environment)
+    manager = ConfigurationManager("trial", store, FakeClock(), read_environment)
     recorder = BurnRecorder(
         writer=writer,
         environment="trial",
@@ -32,7 +32,7 @@
         clock=FakeClock(),
         metrics=NullMetrics(),
         codec=JsonBurnCodec(),
-        configuration=keeper,
+        configuration=manager,
         count_instances=lambda: n_instances,
         random=Random(1),
     )
@@ -43,7 +43,7 @@
         text=TEXT,
         document=read_environment(TEXT),
     )
-    keeper.offer(configuration, "test")
+    manager.offer(configuration, "test")
     return recorder
 
 
@@ -94,7 +94,7 @@
         for instance in instances:
             await instance.flush()
             await instance.flush()
-        return await read_burn(store, JsonBurnCodec(), "trial")
+        return await read_burn_counts(store, JsonBurnCodec(), "trial")
 
     counts = asyncio.run(scenario())
     n_requests = [tally.n_requests for tally in counts.tallies.values()]
--- a/chestnuthall/cli/tests/test_publication.py
+++ b/chestnuthall/cli/tests/test_publication.py
@@ -25,11 +25,11 @@
 from chestnuthall.core.results import STORE_UNAVAILABLE, STORE_WRITE_UNKNOWN
 from chestnuthall.ports import InstanceSummary
 from chestnuthall.services import (
-    Accepted,
+    ConfigurationPublisher,
     FleetView,
-    Publication,
     RaceLost,
-    RevisionBook,
+    RevisionAccepted,
+    RevisionRepository,
 )
 
 
@@ -51,7 +51,7 @@
         for name in ("entry-0", "entry-1"):
             body = {"name": name, "role": "entry", "zone": "a", "address": name}
             self.store.table.put("instances", name, json.dumps(body), None)
-        self.revision_book = RevisionBook(
+        self.revision_repository = RevisionRepository(
             self.store, self.clock, JsonRevisionCodec(), read_environment
         )
         fleet = FleetView(
@@ -63,27 +63,29 @@
         )
         self.fleet = fleet
         tokens = iter(f"token-{n}" for n in range(100))
-        self.publication = Publication(self.revision_book, fleet, lambda: next(tokens))
+        self.publisher = ConfigurationPublisher(
+            self.revision_repository, fleet, lambda: next(tokens)
+        )
 
     async def publish(self, share, author="ada", base="read", **options):
         if base == "read":
-            base = await self.revision_book.in_force("trial")
+            base = await self.revision_repository.in_force("trial")
         text = document(share)
-        draft = self.publication.draft(
+        draft = self.publisher.draft(
             "trial", text, document_digest(text), author, "why"
         )
-        return await self.publication.publish(draft, base, **options)
+        return await self.publisher.publish(draft, base, **options)
 
     def replace_concurrently(self, share, author, token):
         """Replace the document in force from the tool of a second operator."""
 
         async def write():
-            other = RevisionBook(
+            other = RevisionRepository(
                 self.store, self.clock, JsonRevisionCodec(), read_environment
             )
             base = await other.in_force("trial")
             text = document(share)
-            draft = self.publication.draft(
+            draft = self.publisher.draft(
                 "trial", text, document_digest(text), author, token
             )
             return await other.accept(draft, base)
@@ -104,14 +106,14 @@
     async def scenario():
         setup = PublicationSetup()
         await setup.publish(1)
-        base = await setup.revision_book.in_force("trial")
+        base = await setup.revision_repository.in_force("trial")
         won = await setup.publish(2, "bea", base)
         lost = await setup.publish(3, "ada", base)
         late = await setup.publish(4, "ada", expected_revision=1)
         return setup, won, lost, late
 
     setup, won, lost, late = asyncio.run(scenario())
-    assert isinstance(won, Accepted)
+    assert isinstance(won, RevisionAccepted)
     for result, share in ((lost, 3), (late, 4)):
         assert isinstance(result, RaceLost)
         assert (result.winner.author, result.winner.revision) == ("bea", 2)
@@ -128,18 +130,25 @@
 # (case, faults of the writes, number of failing reads, type of the result or None for
 # a failure, revision in force, announced)
 WRITE_FAULTS = [
-    ("answer lost", ["lose_answer"], 0, Accepted, 2, True),
-    ("write lost", ["lose_write"], 0, Accepted, 2, True),
+    ("answer lost", ["lose_answer"], 0, RevisionAccepted, 2, True),
+    ("write lost", ["lose_write"], 0, RevisionAccepted, 2, True),
     (
         "write lost, then its answer",
         ["lose_write", "lose_answer"],
         0,
-        Accepted,
+        RevisionAccepted,
         2,
         True,
     ),
-    ("answer lost, then an outage", ["lose_answer"], 9, Accepted, 2, True),
-    ("answer lost, then replaced", [_concurrent_replacement], 0, Accepted, 3, False),
+    ("answer lost, then an outage", ["lose_answer"], 9, RevisionAccepted, 2, True),
+    (
+        "answer lost, then replaced",
+        [_concurrent_replacement],
+        0,
+        RevisionAccepted,
+        3,
+        False,
+    ),
     ("permanent outage", ["lose_write"] * 999, 999, None, 1, False),
 ]
 
@@ -158,21 +167,21 @@
         setup = PublicationSetup()
         await setup.publish(1)
         setup.admin.announced.clear()
-        base = await setup.revision_book.in_force("trial")
+        base = await setup.revision_repository.in_force("trial")
         setup.store.write_faults = [
             fault(setup) if callable(fault) else fault for fault in faults
         ]
         # The two reads of the history before the write must succeed.
-        await setup.revision_book.record_in_history(base.record)
+        await setup.revision_repository.record_in_history(base.record)
         text = document(2)
-        draft = setup.publication.draft(
+        draft = setup.publisher.draft(
             "trial", text, document_digest(text), "ada", "why"
         )
         if n_failing_reads:
             _fail_reads_after_write(setup, n_failing_reads)
-        result = await setup.publication.publish(draft, base)
+        result = await setup.publisher.publish(draft, base)
         setup.store.n_failing_reads = 0
-        return setup, result, await setup.revision_book.in_force("trial")
+        return setup, result, await setup.revision_repository.in_force("trial")
 
     setup, result, found = asyncio.run(scenario())
     if kind is None:
@@ -231,7 +240,7 @@
         return result, [at_ms - start_ms for at_ms in announced_ms]
 
     result, delays_ms = asyncio.run(scenario())
-    assert isinstance(result, Accepted)
+    assert isinstance(result, RevisionAccepted)
     assert delays_ms == [0.0, 0.0]
 
 
@@ -245,9 +254,9 @@
         setup = PublicationSetup()
         await setup.publish(1, "ada")
         setup.store.table.delete("environment-history", "trial", None)
-        before = await setup.revision_book.history("trial")
+        before = await setup.revision_repository.history("trial")
         await setup.publish(2, "bea")
-        return before, await setup.revision_book.history("trial")
+        return before, await setup.revision_repository.history("trial")
 
     before, after = asyncio.run(scenario())
     assert [item.author for item in before.records] == ["ada"]
@@ -294,9 +303,11 @@
             setup.admin.statuses[name] = make_status(
                 name, digest=digest, since_wall_ms=since, results=counts
             )
-        instances = await setup.fleet.entries()
-        evidence = await setup.fleet.evidence(accepted.record, instances, ())
-        result = await setup.publication.promote(
+        instances = await setup.fleet.list_entry_instances()
+        evidence = await setup.fleet.gather_trial_evidence(
+            accepted.record, instances, ()
+        )
+        result = await setup.publisher.promote(
             evidence,
             "production",
             PromotionPolicy(),
@@ -304,7 +315,7 @@
             "proven",
             override_reason=override,
         )
-        return accepted, result, await setup.revision_book.in_force("production")
+        return accepted, result, await setup.revision_repository.in_force("production")
 
     trial, result, production = asyncio.run(scenario())
     if not is_promoted:
--- a/chestnuthall/daemon/_instance.py
+++ b/chestnuthall/daemon/_instance.py
@@ -38,21 +38,21 @@
     Admissions,
     BurnRecorder,
     ClaimLedger,
-    ConfigurationKeeper,
+    ConfigurationManager,
     ConfigurationStatus,
     ConnectionBudgets,
-    CountedObjectStore,
+    CountingObjectStore,
     Directory,
     DrainDetectingCaller,
     DrainExchange,
     FleetStatus,
     FleetUsageExchange,
     HealthChecks,
-    Identity,
+    InstanceIdentity,
     InstanceList,
     Lifecycle,
     Membership,
-    NewsStatus,
+    NoticesStatus,
     OutcomeRecorder,
     PeerConfigurations,
     QuarantineExchange,
@@ -100,16 +100,16 @@
         self.settings = settings
         clock = LoopClock()
         random = Random()
-        identity = Identity(settings.name, settings.peer_address, settings.zone)
+        identity = InstanceIdentity(settings.name, settings.peer_address, settings.zone)
         metrics = _make_metrics(settings)
-        store = CountedObjectStore(
+        store = CountingObjectStore(
             HttpObjectStore(settings.store_address), metrics, clock
         )
         self.store = store
         self.caller = SearchCaller(clock)
         self.transport = GrpcPeerTransport()
         self.lifecycle = Lifecycle(clock, settings.leave_notice_ms)
-        self.configuration = ConfigurationKeeper(
+        self.configuration = ConfigurationManager(
             settings.environment,
             store,
             clock,
@@ -224,7 +224,7 @@
             (
                 ConfigurationStatus(self.configuration, clock),
                 FleetStatus(self.lifecycle, self.membership),
-                NewsStatus(self.drain_exchange, self.quarantine_exchange),
+                NoticesStatus(self.drain_exchange, self.quarantine_exchange),
             ),
         )
         self.membership.on_superseded(self.lifecycle.announce_leave)
--- a/chestnuthall/daemon/tests/shared_store_fleet.py
+++ b/chestnuthall/daemon/tests/shared_store_fleet.py
@@ -18,8 +18,8 @@
 from chestnuthall.core.results import Failure
 from chestnuthall.services import (
     ClaimLedger,
-    ConfigurationKeeper,
-    CountedObjectStore,
+    ConfigurationManager,
+    CountingObjectStore,
 )
 from chestnuthall.standins.objectapi import MemoryObjectStore, ObjectService
 
@@ -58,7 +58,7 @@
 
 @dataclass
 class SharedStoreFleet:
-    """Claim ledgers and configuration keepers of ``n_instances`` instances.
+    """Claim ledgers and configuration managers of ``n_instances`` instances.
 
     The wall clock is the loop's time plus one hour.
     """
@@ -75,11 +75,11 @@
             MemoryObjectStore(self.service) for _ in range(self.n_instances)
         ]
         self.stores = [
-            CountedObjectStore(client, NullMetrics(), self.clock)
+            CountingObjectStore(client, NullMetrics(), self.clock)
             for client in self.clients
         ]
         self.ledgers = [self.new_ledger(index) for index in range(self.n_instances)]
-        self.keepers = [self.new_keeper(index) for index in range(self.n_instances)]
+        self.managers = [self.new_manager(index) for index in range(self.n_instances)]
         self.dispatched = {}
         self.refused = {}
 
@@ -93,15 +93,15 @@
             Random(self.seed + index),
         )
 
-    def new_keeper(self, index):
+    def new_manager(self, index):
         async def fetch_from_peers():
             return [
-                keeper.in_force.stored_text
-                for other, keeper in enumerate(self.keepers)
-                if other != index and keeper.in_force is not None
+                manager.in_force.stored_text
+                for other, manager in enumerate(self.managers)
+                if other != index and manager.in_force is not None
             ]
 
-        return ConfigurationKeeper(
+        return ConfigurationManager(
             ENVIRONMENT,
             self.stores[index],
             self.clock,
@@ -135,10 +135,10 @@
         random = Random(self.seed)
         while True:
             await asyncio.sleep(1.0)
-            for keeper in self.keepers:
-                other = random.choice(self.keepers)
-                self.send_configuration(other, keeper)
-                self.send_configuration(keeper, other)
+            for manager in self.managers:
+                other = random.choice(self.managers)
+                self.send_configuration(other, manager)
+                self.send_configuration(manager, other)
 
     @staticmethod
     def send_configuration(sender, receiver):
--- a/chestnuthall/daemon/tests/test_configuration_on_store.py
+++ b/chestnuthall/daemon/tests/test_configuration_on_store.py
@@ -2,7 +2,7 @@
 
 A fault must neither revert an instance to an older revision nor delay a new one
 beyond the limit, and must not make an instance call the store in a tight loop. The
-real configuration keepers run on the in-memory store in virtual time.
+real configuration managers run on the in-memory store in virtual time.
 """
 
 import asyncio
@@ -37,14 +37,14 @@
 OUTAGES = {name for name, fault in FAULTS.items() if "outage" in fault}
 
 
-async def run_keepers(fleet, scenario):
-    """Run a scenario while the keepers run and exchange configurations."""
-    logs = [[] for _ in fleet.keepers]
-    for keeper, log in zip(fleet.keepers, logs, strict=True):
-        keeper.on_change(
+async def run_managers(fleet, scenario):
+    """Run a scenario while the managers run and exchange configurations."""
+    logs = [[] for _ in fleet.managers]
+    for manager, log in zip(fleet.managers, logs, strict=True):
+        manager.on_change(
             lambda item, log=log: log.append((item.revision, fleet.clock.now_ms()))
         )
-    tasks = [asyncio.ensure_future(keeper.run()) for keeper in fleet.keepers]
+    tasks = [asyncio.ensure_future(manager.run()) for manager in fleet.managers]
     tasks.append(asyncio.ensure_future(fleet.run_peer_exchange()))
     try:
         result = await scenario()
@@ -76,7 +76,7 @@
             await asyncio.sleep(PROPAGATION_LIMIT_MS / 1000.0)
             return accepted_ms
 
-        return await run_keepers(fleet, publish_revision)
+        return await run_managers(fleet, publish_revision)
 
     logs, accepted_ms = run_virtual(scenario(SharedStoreFleet(watchers=watchers)))
     for log in logs:
@@ -122,7 +122,7 @@
             await fleet.accept(2)
             await asyncio.sleep(PROPAGATION_LIMIT_MS / 1000.0)
 
-        return await run_keepers(fleet, publish_revision)
+        return await run_managers(fleet, publish_revision)
 
     logs, _ = run_virtual(scenario(SharedStoreFleet(n_instances=1, watchers=watchers)))
     assert logs[0][-1][0] == 2
@@ -138,7 +138,7 @@
             return WatchBatch(after_version, ())
 
         fleet.clients[0].watch = end_at_once
-        task = asyncio.ensure_future(fleet.keepers[0].run())
+        task = asyncio.ensure_future(fleet.managers[0].run())
         await asyncio.sleep(60.0)
         task.cancel()
         return sum(fleet.stores[0].calls_in_last_minute().values())
@@ -158,7 +158,7 @@
             await fleet.accept(2)
             await asyncio.sleep(PROPAGATION_LIMIT_MS / 1000.0)
 
-        return await run_keepers(fleet, publish_revision)
+        return await run_managers(fleet, publish_revision)
 
     logs, _ = run_virtual(scenario(SharedStoreFleet()))
     assert [log[-1][0] for log in logs] == [2, 2, 2]
@@ -185,16 +185,16 @@
         await fleet.accept(2)
         await asyncio.sleep(1.0)
         if peer_revision is not None:
-            fleet.keepers[1].offer_text(configuration_text(peer_revision), "test")
+            fleet.managers[1].offer_text(configuration_text(peer_revision), "test")
         fleet.service.set_faults(StoreFaults(delay_ms=50.0, stale_read_ms=stale_ms))
         fleet.clients[0].is_cut_off = is_cut_off
-        task = asyncio.ensure_future(fleet.keepers[0].run())
+        task = asyncio.ensure_future(fleet.managers[0].run())
         await asyncio.sleep(0.04)
-        assert not fleet.keepers[0].is_ready or is_cut_off
+        assert not fleet.managers[0].is_ready or is_cut_off
         await asyncio.sleep(0.011)
-        ready = fleet.keepers[0].is_ready
+        ready = fleet.managers[0].is_ready
         task.cancel()
-        return ready, fleet.keepers[0].revision
+        return ready, fleet.managers[0].revision
 
     ready, revision = run_virtual(scenario(SharedStoreFleet()))
     assert (ready, revision) == (expected > 0, expected)
@@ -215,7 +215,7 @@
             fleet.clients[0].is_cut_off = False
             await asyncio.sleep(PROPAGATION_LIMIT_MS / 1000.0)
 
-        return await run_keepers(fleet, publish_revision)
+        return await run_managers(fleet, publish_revision)
 
     logs, _ = run_virtual(scenario(SharedStoreFleet(n_instances=1, watchers=(0,))))
     assert [revision for revision, _ in logs[0]] == [1, 2]
@@ -241,7 +241,7 @@
             await fleet.accept(1)
         await asyncio.sleep(1.0)
         fleet.service.set_faults(StoreFaults(**faults))
-        task = asyncio.ensure_future(fleet.keepers[0].run())
+        task = asyncio.ensure_future(fleet.managers[0].run())
         await asyncio.sleep(60.0)
         task.cancel()
         return sum(fleet.stores[0].calls_in_last_minute().values())
@@ -273,10 +273,10 @@
     """A text offered by any source may only advance the revision."""
 
     async def scenario(fleet):
-        keeper = fleet.keepers[0]
-        keeper.offer_text(configuration_text(3), "test")
-        decision = keeper.offer_text(text, "test")
-        return getattr(decision, "kind", decision), keeper.revision
+        manager = fleet.managers[0]
+        manager.offer_text(configuration_text(3), "test")
+        decision = manager.offer_text(text, "test")
+        return getattr(decision, "kind", decision), manager.revision
 
     decision, revision = run_virtual(scenario(SharedStoreFleet()))
     assert decision is expected
@@ -292,11 +292,11 @@
     """A confirmation of a newer revision than its own must not count as its own."""
 
     async def scenario(fleet):
-        keeper = fleet.keepers[0]
+        manager = fleet.managers[0]
         if in_force is not None:
-            keeper.offer_text(configuration_text(in_force), "test")
-        keeper.confirm(confirmed, 300.0)
-        return keeper.confirmation_age_ms
+            manager.offer_text(configuration_text(in_force), "test")
+        manager.confirm(confirmed, 300.0)
+        return manager.confirmation_age_ms
 
     age_ms = run_virtual(scenario(SharedStoreFleet()))
     assert age_ms == (300.0 if is_confirmed else float("inf"))
@@ -307,12 +307,12 @@
 
     async def scenario(fleet):
         await fleet.accept(1)
-        keeper = fleet.keepers[0]
-        keeper.offer_text(configuration_text(2), "peer")
-        task = asyncio.ensure_future(keeper.run())
+        manager = fleet.managers[0]
+        manager.offer_text(configuration_text(2), "peer")
+        task = asyncio.ensure_future(manager.run())
         await asyncio.sleep(0.6)
         task.cancel()
-        return keeper.confirmation_age_ms, keeper.revision
+        return manager.confirmation_age_ms, manager.revision
 
     age_ms, revision = run_virtual(scenario(SharedStoreFleet(watchers=())))
     assert (age_ms, revision) == (float("inf"), 2)
@@ -322,10 +322,10 @@
     """An exception in one listener must not keep the others on an old revision."""
 
     async def scenario(fleet):
-        keeper, revisions = fleet.keepers[0], []
-        keeper.on_change(lambda item: 1 / 0)
-        keeper.on_change(lambda item: revisions.append(item.revision))
-        keeper.offer_text(configuration_text(1), "test")
+        manager, revisions = fleet.managers[0], []
+        manager.on_change(lambda item: 1 / 0)
+        manager.on_change(lambda item: revisions.append(item.revision))
+        manager.offer_text(configuration_text(1), "test")
         return revisions
 
     assert run_virtual(scenario(SharedStoreFleet())) == [1]
--- a/chestnuthall/daemon/tests/test_mutations_on_store.py
+++ b/chestnuthall/daemon/tests/test_mutations_on_store.py
@@ -30,7 +30,7 @@
     mutation,
 )
 from chestnuthall.daemon.tests.test_claims_on_store import FAULTS
-from chestnuthall.services import Admissions, Directory, Identity, QueryService
+from chestnuthall.services import Admissions, Directory, InstanceIdentity, QueryService
 from chestnuthall.standins.objectapi import StoreFaults
 from chestnuthall.standins.virtual_time import run_virtual
 
@@ -81,17 +81,17 @@
             Random(1),
         )
         query = QueryService(
-            identity=Identity(f"entry-{index}", "", "a"),
+            identity=InstanceIdentity(f"entry-{index}", "", "a"),
             clock=self.clock,
             metrics=NullMetrics(),
             caller=self.caller,
             directory=directory,
-            configuration=self.keepers[index],
+            configuration=self.managers[index],
             admissions=Admissions(self.clock),
             ledger=self.ledgers[index],
             quarantine=QuarantineRegistry(QuarantineSettings()),
         )
-        self.keepers[index].offer_text(configuration_text(1), "test")
+        self.managers[index].offer_text(configuration_text(1), "test")
         directory.add_map(PartitionMap("desk", 1, (SHARD,)))
         return query
 
--- a/chestnuthall/daemon/tests/test_status.py
+++ b/chestnuthall/daemon/tests/test_status.py
@@ -18,7 +18,7 @@
     STORE_WRITE_UNKNOWN,
 )
 from chestnuthall.ports import StoredObject
-from chestnuthall.services import Identity, StatusReporter
+from chestnuthall.services import InstanceIdentity, StatusReporter
 
 
 class OneObjectStore:
@@ -51,7 +51,7 @@
 
 def _reporter(store, n_instances=9):
     membership = SimpleNamespace(
-        identity=Identity("entry-1", "a:1", "z"),
+        identity=InstanceIdentity("entry-1", "a:1", "z"),
         incarnation=1,
         counts=FleetCounts(n_live=n_instances),
     )
--- a/chestnuthall/daemon/tests/test_two_level.py
+++ b/chestnuthall/daemon/tests/test_two_level.py
@@ -29,7 +29,7 @@
 )
 from chestnuthall.core.results import CONNECTION_LOST, QUARANTINED, SNAPSHOT_GONE
 from chestnuthall.ports import MemberUpdate
-from chestnuthall.services import Identity, TwoLevelFanOut
+from chestnuthall.services import InstanceIdentity, TwoLevelFanOut
 
 N_SHARDS = 30
 MAP = PartitionMap(
@@ -109,7 +109,7 @@
             MemberUpdate(f"entry-{i}", f"a:{i}", "z", "alive", 1) for i in (2, 3)
         )
         membership = SimpleNamespace(
-            identity=Identity("entry-1", "a:1", "z"), members=lambda: members
+            identity=InstanceIdentity("entry-1", "a:1", "z"), members=lambda: members
         )
         clock = LoopClock()
         now_ms = clock.now_ms()
--- a/chestnuthall/daemon/tests/virtual_fleet.py
+++ b/chestnuthall/daemon/tests/virtual_fleet.py
@@ -14,8 +14,8 @@
 from chestnuthall.core.results import STORE_UNAVAILABLE
 from chestnuthall.ports import StoredObject, WatchBatch
 from chestnuthall.services import (
-    ConfigurationKeeper,
-    Identity,
+    ConfigurationManager,
+    InstanceIdentity,
     InstanceList,
     Membership,
 )
@@ -124,10 +124,10 @@
         listed = InstanceList(store, clock, read_entry)
         transport = self.network.transport(address, host)
         membership = Membership(
-            Identity(name, address, "zone-a"),
+            InstanceIdentity(name, address, "zone-a"),
             transport,
             clock,
-            ConfigurationKeeper("trial", store, clock, read_configuration),
+            ConfigurationManager("trial", store, clock, read_configuration),
             listed,
             Random(self.random.random()),
             settings=self._settings,
--- a/chestnuthall/platform/_instance.py
+++ b/chestnuthall/platform/_instance.py
@@ -47,17 +47,17 @@
 from chestnuthall.platform._settings import PlatformSettings
 from chestnuthall.services import (
     Admissions,
-    ConfigurationKeeper,
+    ConfigurationManager,
     ConnectionBudgets,
-    CountedObjectStore,
+    CountingObjectStore,
     DecisionLog,
     EqualQuotas,
-    Identity,
     InstanceEntry,
+    InstanceIdentity,
+    InstancePresence,
     Lifecycle,
     PeerAwareCaller,
     PeerShardSets,
-    Presence,
     QueryService,
     RelayService,
     ServiceDirectory,
@@ -153,7 +153,7 @@
         random = Random()
         self._metrics = metrics = PrometheusMetrics()
         self._decisions = DecisionLog(clock, metrics, _call_soon)
-        store = CountedObjectStore(
+        store = CountingObjectStore(
             HttpObjectStore(settings.store_address, DIALECT, STORE_PROBES),
             metrics,
             clock,
@@ -166,7 +166,7 @@
             (ENVIRONMENT_KIND, REGISTRATION_KIND),
             FeedTiming(min(settings.configuration_deadline_ms, settings.drain_ms)),
             LeaderSelector(settings.name),
-            lambda: self.presence.near_peers,
+            lambda: self.presence.same_zone_peers,
             [x for x in settings.seed_addresses if x != settings.peer_address],
         )
         self._extra_load_budget = ServiceExtraLoadBudget(
@@ -190,12 +190,12 @@
         self.lifecycle = Lifecycle(
             clock,
             LEAVE_NOTICE_MS,
-            quiet_ms=BALANCER_REMOVAL_MS,
-            stop_within_ms=1000.0 * settings.grace_s - STOP_MARGIN_MS,
+            reconnect_grace_ms=BALANCER_REMOVAL_MS,
+            stop_timeout_ms=1000.0 * settings.grace_s - STOP_MARGIN_MS,
         )
         # Each store call is priced, so watches are as long as is safe.
         watch_timeout_ms = safe_watch_timeout_ms(settings.store_settle_ms)
-        self.configuration = ConfigurationKeeper(
+        self.configuration = ConfigurationManager(
             SINGLETON_NAME,
             shared,
             clock,
@@ -217,7 +217,7 @@
             random,
             watch_timeout_ms,
         )
-        self.presence = Presence(
+        self.presence = InstancePresence(
             InstanceEntry(settings.name, settings.peer_address, settings.zone),
             store,
             clock,
@@ -242,7 +242,9 @@
             settings.name, settings.zone, lambda: self.presence.peers
         )
         query = QueryService(
-            identity=Identity(settings.name, settings.caller_address, settings.zone),
+            identity=InstanceIdentity(
+                settings.name, settings.caller_address, settings.zone
+            ),
             clock=clock,
             metrics=metrics,
             caller=PeerAwareCaller(self._caller, self._peer_caller),
@@ -268,7 +270,7 @@
         self.peer_server = HttpServer(
             PeerFrontend(
                 frontend,
-                FeedHandler(shared.feed, shared.known).handle,
+                FeedHandler(shared.store_feed, shared.any_feed).handle,
                 self.is_ready,
                 lambda: self.configuration.revision,
             ).handle,
--- a/chestnuthall/services/__init__.py
+++ b/chestnuthall/services/__init__.py
@@ -12,14 +12,14 @@
 from chestnuthall.services._burn import (
     BurnCodec,
     BurnRecorder,
-    read_burn,
+    read_burn_counts,
 )
 from chestnuthall.services._claims import (
     ClaimLedger,
     PartitionCodec,
 )
 from chestnuthall.services._configuration import (
-    ConfigurationKeeper,
+    ConfigurationManager,
     ConfigurationReader,
 )
 from chestnuthall.services._configuration_peers import (
@@ -66,7 +66,7 @@
 )
 from chestnuthall.services._membership import (
     DigestSection,
-    Identity,
+    InstanceIdentity,
     Membership,
 )
 from chestnuthall.services._object_feed import (
@@ -81,10 +81,10 @@
 )
 from chestnuthall.services._presence import (
     InstanceEntry,
-    Presence,
+    InstancePresence,
 )
 from chestnuthall.services._publication import (
-    Publication,
+    ConfigurationPublisher,
 )
 from chestnuthall.services._quarantine_exchange import (
     QuarantineExchange,
@@ -98,9 +98,9 @@
     RelayService,
 )
 from chestnuthall.services._revisions import (
-    Accepted,
     RaceLost,
-    RevisionBook,
+    RevisionAccepted,
+    RevisionRepository,
 )
 from chestnuthall.services._service_directory import (
     ServiceDirectory,
@@ -111,12 +111,12 @@
 from chestnuthall.services._status import (
     ConfigurationStatus,
     FleetStatus,
-    NewsStatus,
+    NoticesStatus,
     StatusReporter,
     StatusSection,
 )
 from chestnuthall.services._store_calls import (
-    CountedObjectStore,
+    CountingObjectStore,
 )
 from chestnuthall.services._two_level import (
     TwoLevelFanOut,
@@ -124,7 +124,7 @@
 
 __all__ = [
     "DECISION_LOGGER_NAME",
-    "Accepted",
+    "RevisionAccepted",
     "Administration",
     "Admission",
     "Admissions",
@@ -132,11 +132,11 @@
     "BurnCodec",
     "BurnRecorder",
     "ClaimLedger",
-    "ConfigurationKeeper",
+    "ConfigurationManager",
     "ConfigurationReader",
     "ConfigurationStatus",
     "ConnectionBudgets",
-    "CountedObjectStore",
+    "CountingObjectStore",
     "DecisionLog",
     "DigestSection",
     "Directory",
@@ -148,13 +148,13 @@
     "FleetView",
     "GroupDirectory",
     "HealthChecks",
-    "Identity",
+    "InstanceIdentity",
     "InstanceEntry",
     "InstanceList",
     "Lifecycle",
     "ListEntryReader",
     "Membership",
-    "NewsStatus",
+    "NoticesStatus",
     "NotAdmitted",
     "ObjectFeed",
     "Outcome",
@@ -165,19 +165,19 @@
     "PeerConfigurations",
     "PeerAwareCaller",
     "PeerShardSets",
-    "Presence",
-    "Publication",
+    "InstancePresence",
+    "ConfigurationPublisher",
     "QuarantineExchange",
     "QueryService",
     "RaceLost",
     "RelayCall",
     "RelayService",
-    "RevisionBook",
+    "RevisionRepository",
     "InstanceObservation",
     "ReplicaObservation",
     "ServiceDirectory",
     "StatusSection",
     "StatusReporter",
     "TwoLevelFanOut",
-    "read_burn",
+    "read_burn_counts",
 ]
--- a/chestnuthall/services/_administration.py
+++ b/chestnuthall/services/_administration.py
@@ -6,7 +6,7 @@
 from chestnuthall.services._directory import Directory
 from chestnuthall.services._drain_news import DrainExchange
 from chestnuthall.services._lifecycle import Lifecycle
-from chestnuthall.services._membership import Identity
+from chestnuthall.services._membership import InstanceIdentity
 from chestnuthall.services._quarantine_exchange import QuarantineExchange
 
 
@@ -15,7 +15,7 @@
 
     def __init__(
         self,
-        identity: Identity,
+        identity: InstanceIdentity,
         lifecycle: Lifecycle,
         directory: Directory,
         drains: DrainExchange,
--- a/chestnuthall/services/_burn.py
+++ b/chestnuthall/services/_burn.py
@@ -29,7 +29,7 @@
     ResultCode,
 )
 from chestnuthall.ports import Clock, Metrics, ObjectStore, StoredObject
-from chestnuthall.services._configuration import ConfigurationKeeper
+from chestnuthall.services._configuration import ConfigurationManager
 
 _log = logging.getLogger(__name__)
 
@@ -77,7 +77,7 @@
         clock: Clock,
         metrics: Metrics,
         codec: BurnCodec,
-        configuration: ConfigurationKeeper,
+        configuration: ConfigurationManager,
         count_instances: Callable[[], int],
         random: Random,
     ) -> None:
@@ -205,7 +205,7 @@
         )
 
 
-async def read_burn(
+async def read_burn_counts(
     store: ObjectStore, codec: BurnCodec, environment: str
 ) -> BurnCounts | Failure:
     """Return the counts of an environment, summed over its ledger partitions."""
--- a/chestnuthall/services/_configuration.py
+++ b/chestnuthall/services/_configuration.py
@@ -41,7 +41,7 @@
     return ()
 
 
-class ConfigurationKeeper:
+class ConfigurationManager:
     """Applies accepted configurations in order of revision, never an older one.
 
     ``fetch_from_peers`` returns the stored texts that peers have in force.
--- a/chestnuthall/services/_connections.py
+++ b/chestnuthall/services/_connections.py
@@ -4,7 +4,7 @@
 
 from chestnuthall.core.routing import N_INSTANCES_ASSUMED, ConnectionBudget
 from chestnuthall.ports import Clock, ShardCaller
-from chestnuthall.services._configuration import ConfigurationKeeper
+from chestnuthall.services._configuration import ConfigurationManager
 
 OBSERVE_INTERVAL_MS = 500.0
 
@@ -22,7 +22,7 @@
         self,
         caller: ShardCaller,
         clock: Clock,
-        configuration: ConfigurationKeeper,
+        configuration: ConfigurationManager,
         n_instances: Callable[[], int | None],
         n_instances_assumed: int = N_INSTANCES_ASSUMED,
         n_instances_in_zone: Callable[[], int | None] = lambda: None,
--- a/chestnuthall/services/_drain_news.py
+++ b/chestnuthall/services/_drain_news.py
@@ -31,7 +31,7 @@
 )
 from chestnuthall.services._directory import Directory
 from chestnuthall.services._instance_list import InstanceList
-from chestnuthall.services._membership import N_URGENT_PEERS
+from chestnuthall.services._membership import N_URGENT_NOTICE_PEERS
 
 _log = logging.getLogger(__name__)
 
@@ -159,7 +159,7 @@
         try:
             while self._has_unsent_notices:
                 self._has_unsent_notices = False
-                await self._disseminate(N_URGENT_PEERS)
+                await self._disseminate(N_URGENT_NOTICE_PEERS)
         finally:
             self._dissemination = None
 
--- a/chestnuthall/services/_fan_out_run.py
+++ b/chestnuthall/services/_fan_out_run.py
@@ -27,7 +27,7 @@
 from chestnuthall.core.model import PartitionMap, ShardAnswer, ShardCall
 from chestnuthall.core.results import Failure
 from chestnuthall.ports import Clock, DirectShardCaller, ShardCaller
-from chestnuthall.services._suspects import Suspects
+from chestnuthall.services._suspicion_notifier import SuspicionNotifier
 
 CallObserver: TypeAlias = Callable[[ShardCall, ShardAnswer | Failure, float], None]
 
@@ -70,7 +70,7 @@
         clock: Clock,
         caller: ShardCaller,
         directory: MapSource,
-        suspects: Suspects,
+        suspicion_notifier: SuspicionNotifier,
         on_call_result: CallObserver = _ignore_result,
     ) -> None:
         self._on_call_result = on_call_result
@@ -78,7 +78,7 @@
         self._clock = clock
         self._caller = caller
         self._directory = directory
-        self._suspects = suspects
+        self._suspicion_notifier = suspicion_notifier
         self._loop = asyncio.get_running_loop()
         self._done: asyncio.Future[Completion] = self._loop.create_future()
         self._direct_caller = caller if isinstance(caller, DirectShardCaller) else None
@@ -92,12 +92,12 @@
     async def complete(self) -> Completion:
         """Run the fan-out to its end; cancel its calls when cancelled."""
         fingerprint = self._fan_out.request.fingerprint
-        self._suspects.add_waiter(fingerprint, self._on_verdict)
+        self._suspicion_notifier.add_waiter(fingerprint, self._on_verdict)
         try:
             self._handle(QueryStarted(self._clock.now_ms()))
             return await self._done
         finally:
-            self._suspects.remove_waiter(fingerprint, self._on_verdict)
+            self._suspicion_notifier.remove_waiter(fingerprint, self._on_verdict)
             self._stop()
 
     def _stop(self) -> None:
@@ -157,7 +157,7 @@
 
     @_perform.register
     def _(self, action: NotifyPeers) -> None:
-        self._tasks.append(self._loop.create_task(self._warn_peers()))
+        self._tasks.append(self._loop.create_task(self._notify_peers()))
 
     @_perform.register
     def _(self, action: Complete) -> None:
@@ -170,8 +170,8 @@
     def _on_verdict(self) -> None:
         self._handle(VerdictReached(self._clock.now_ms()))
 
-    async def _warn_peers(self) -> None:
-        await self._suspects.warn_peers()
+    async def _notify_peers(self) -> None:
+        await self._suspicion_notifier.notify_peers()
         self._handle(PeersNotified(self._clock.now_ms()))
 
     async def _call(self, call: ShardCall) -> None:
--- a/chestnuthall/services/_fleet_view.py
+++ b/chestnuthall/services/_fleet_view.py
@@ -70,7 +70,7 @@
         self._read_listed = read_listed
         self._request_slots = asyncio.Semaphore(N_CONCURRENT_REQUESTS_MAX)
 
-    async def listed(self) -> tuple[InstanceSummary, ...] | Failure:
+    async def list_instances(self) -> tuple[InstanceSummary, ...] | Failure:
         """Return the platform's list of instances and upstreams."""
         objects = await self._store.list_kind(INSTANCE_KIND, STORE_TIMEOUT_MS)
         if isinstance(objects, Failure):
@@ -78,9 +78,9 @@
         read = [self._read_listed(item.value) for item in objects]
         return tuple(item for item in read if not isinstance(item, Failure))
 
-    async def entries(self) -> tuple[InstanceSummary, ...] | Failure:
+    async def list_entry_instances(self) -> tuple[InstanceSummary, ...] | Failure:
         """Return the entry instances that are not leaving."""
-        listed = await self.listed()
+        listed = await self.list_instances()
         if isinstance(listed, Failure):
             return listed
         return tuple(x for x in listed if x.role == "entry" and x.state == "live")
@@ -167,7 +167,7 @@
                 return behind
             await self._clock.sleep_ms(interval_ms)
 
-    async def evidence(
+    async def gather_trial_evidence(
         self,
         record: RevisionRecord,
         instances: tuple[InstanceSummary, ...],
@@ -193,7 +193,7 @@
 
     async def drain_instance(self, name: str) -> Failure | None:
         """Request a graceful shutdown of one instance."""
-        instances = await self.entries()
+        instances = await self.list_entry_instances()
         if isinstance(instances, Failure):
             return instances
         for item in instances:
@@ -208,7 +208,7 @@
 
     async def drain_upstream(self, name: str) -> dict[str, Failure | None] | Failure:
         """Request that no instance send new calls to an upstream replica."""
-        instances = await self.entries()
+        instances = await self.list_entry_instances()
         if isinstance(instances, Failure):
             return instances
         results = await asyncio.gather(
@@ -223,7 +223,7 @@
         self,
     ) -> dict[str, tuple[QuarantineEntry, ...] | Failure] | Failure:
         """Return the quarantines of each instance, by its name."""
-        instances = await self.entries()
+        instances = await self.list_entry_instances()
         if isinstance(instances, Failure):
             return instances
         results = await asyncio.gather(
@@ -238,7 +238,7 @@
         self, fingerprint: str
     ) -> dict[str, bool | Failure] | Failure:
         """Lift a quarantine on every instance; return the result of each by name."""
-        instances = await self.entries()
+        instances = await self.list_entry_instances()
         if isinstance(instances, Failure):
             return instances
         results = await asyncio.gather(
--- a/chestnuthall/services/_lifecycle.py
+++ b/chestnuthall/services/_lifecycle.py
@@ -19,9 +19,9 @@
     load balancer can move callers to other instances. It then waits for the
     requests in flight.
 
-    ``quiet_ms`` is the time from the start of the leave notice during which
+    ``reconnect_grace_ms`` is the time from the start of the leave notice during which
     persistent connections are not closed yet, because callers that reconnect would
-    still reach this instance. ``stop_within_ms`` bounds the stop where the platform
+    still reach this instance. ``stop_timeout_ms`` bounds the stop where the platform
     ends the process after that time.
     """
 
@@ -30,13 +30,13 @@
         clock: Clock,
         leave_notice_ms: float,
         *,
-        quiet_ms: float = 0.0,
-        stop_within_ms: float | None = None,
+        reconnect_grace_ms: float = 0.0,
+        stop_timeout_ms: float | None = None,
     ) -> None:
         self._clock = clock
         self._leave_notice_ms = leave_notice_ms
-        self._quiet_ms = min(quiet_ms, leave_notice_ms)
-        self._stop_within_ms = stop_within_ms
+        self._reconnect_grace_ms = min(reconnect_grace_ms, leave_notice_ms)
+        self._stop_timeout_ms = stop_timeout_ms
         self._n_in_flight = 0
         self._idle = asyncio.Event()
         self._idle.set()
@@ -75,10 +75,10 @@
         """Serve during the leave notice, then stop listening and finish all requests.
 
         An instance that was never ready has no callers to move, so it skips the
-        notice. Without ``stop_within_ms`` the wait for the requests is not bounded
+        notice. Without ``stop_timeout_ms`` the wait for the requests is not bounded
         here, because each has its own deadline.
         """
-        limit_ms = self._stop_within_ms
+        limit_ms = self._stop_timeout_ms
         timeout_s = None if limit_ms is None else limit_ms / 1000.0
         try:
             async with asyncio.timeout(timeout_s):
@@ -90,10 +90,10 @@
 
     async def _drain(self, listener: CallerServer, was_ready: bool) -> None:
         if was_ready:
-            await self._clock.sleep_ms(self._quiet_ms)
+            await self._clock.sleep_ms(self._reconnect_grace_ms)
         listener.announce_close()
         if was_ready:
-            await self._clock.sleep_ms(self._leave_notice_ms - self._quiet_ms)
+            await self._clock.sleep_ms(self._leave_notice_ms - self._reconnect_grace_ms)
         await listener.stop_listening()
         await self._idle.wait()
         await listener.wait_closed(LINGER_MS)
--- a/chestnuthall/services/_membership.py
+++ b/chestnuthall/services/_membership.py
@@ -42,7 +42,7 @@
     PeerTransport,
     ShardSetCall,
 )
-from chestnuthall.services._configuration import ConfigurationKeeper
+from chestnuthall.services._configuration import ConfigurationManager
 from chestnuthall.services._instance_list import InstanceList
 
 _log = logging.getLogger(__name__)
@@ -50,7 +50,7 @@
 # Number of peers to which an instance sends urgent updates and notices. At 1,900
 # instances, five peers miss 0.7% of the fleet and three peers 5%; with three, some
 # instances are missed by the next round of probes too and notified later than 3 s.
-N_URGENT_PEERS = 5
+N_URGENT_NOTICE_PEERS = 5
 
 CountsListener = Callable[[FleetCounts], None]
 SupersededListener = Callable[[], None]
@@ -71,7 +71,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Identity:
+class InstanceIdentity:
     """Name, peer address and availability zone of this instance."""
 
     name: str
@@ -84,10 +84,10 @@
 
     def __init__(
         self,
-        identity: Identity,
+        identity: InstanceIdentity,
         peers: PeerTransport,
         clock: Clock,
-        configuration: ConfigurationKeeper,
+        configuration: ConfigurationManager,
         instances: InstanceList,
         random: Random,
         sections: Sequence[DigestSection] = (),
@@ -122,7 +122,7 @@
         instances.on_change(self._process_list)
 
     @property
-    def identity(self) -> Identity:
+    def identity(self) -> InstanceIdentity:
         """Name, peer address and zone of this instance."""
         return self._identity
 
@@ -228,12 +228,12 @@
     async def announce_leave(self) -> None:
         """Notify peers that this instance is leaving."""
         self._handle(LeaveAnnounced(self._clock.now_ms()))
-        await self.disseminate_now(N_URGENT_PEERS)
+        await self.disseminate_now(N_URGENT_NOTICE_PEERS)
 
     async def finish_leave(self) -> None:
         """Notify peers that this instance has left, so that none probes it."""
         self._handle(LeaveFinished(self._clock.now_ms()))
-        await self.disseminate_now(N_URGENT_PEERS)
+        await self.disseminate_now(N_URGENT_NOTICE_PEERS)
 
     def _process_list(self, entries: tuple[InstanceListEntry, ...]) -> None:
         listed = tuple(
--- a/chestnuthall/services/_object_feed.py
+++ b/chestnuthall/services/_object_feed.py
@@ -45,7 +45,7 @@
         confirmed_ms = self._clock.now_ms() - age_ms
         self._confirmed_ms = max(self._confirmed_ms, confirmed_ms)
 
-    def load(self, objects: Sequence[StoredObject], version: int) -> None:
+    def replace_all(self, objects: Sequence[StoredObject], version: int) -> None:
         """Replace the contents by a full listing; the differences become a batch."""
         if version < self.version:
             return
--- a/chestnuthall/services/_outcomes.py
+++ b/chestnuthall/services/_outcomes.py
@@ -7,7 +7,7 @@
 from chestnuthall.core.results import INTERNAL_ERROR, ResultCode
 from chestnuthall.ports import Metrics
 from chestnuthall.services._burn import BurnRecorder
-from chestnuthall.services._configuration import ConfigurationKeeper
+from chestnuthall.services._configuration import ConfigurationManager
 from chestnuthall.services._decision_log import outcome_fields
 
 _log = logging.getLogger(__name__)
@@ -24,7 +24,7 @@
         self,
         burn: BurnRecorder,
         metrics: Metrics,
-        configuration: ConfigurationKeeper,
+        configuration: ConfigurationManager,
     ) -> None:
         self._burn = burn
         self._configuration = configuration
--- a/chestnuthall/services/_presence.py
+++ b/chestnuthall/services/_presence.py
@@ -32,7 +32,7 @@
 EntryWriter = Callable[[InstanceEntry], str]
 
 
-class Presence:
+class InstancePresence:
     """Writes the entry of this instance to the store once, and counts the entries.
 
     An entry stays when its instance ends, so the count is an upper bound on the
@@ -59,13 +59,13 @@
         self.peers: tuple[InstanceEntry, ...] = ()
 
     @property
-    def near_peers(self) -> tuple[InstanceEntry, ...]:
+    def same_zone_peers(self) -> tuple[InstanceEntry, ...]:
         """The other instances in this zone, including unavailable ones."""
         return tuple(item for item in self.peers if item.zone == self._own.zone)
 
     def n_instances_in_zone(self) -> int:
         """Return the number of instances in this zone, including this one."""
-        return 1 + len(self.near_peers)
+        return 1 + len(self.same_zone_peers)
 
     async def run(self) -> None:
         """Write this instance's entry, then list all entries until cancelled."""
--- a/chestnuthall/services/_publication.py
+++ b/chestnuthall/services/_publication.py
@@ -14,18 +14,22 @@
 )
 from chestnuthall.core.results import OBJECT_CONFLICT, Failure
 from chestnuthall.services._fleet_view import FleetView
-from chestnuthall.services._revisions import Accepted, RaceLost, RevisionBook
+from chestnuthall.services._revisions import (
+    RaceLost,
+    RevisionAccepted,
+    RevisionRepository,
+)
 
 TokenMaker = Callable[[], str]
 
 
-class Publication:
+class ConfigurationPublisher:
     """Publishes and promotes revisions on behalf of operators."""
 
     def __init__(
-        self, book: RevisionBook, fleet: FleetView, make_token: TokenMaker
+        self, revisions: RevisionRepository, fleet: FleetView, make_token: TokenMaker
     ) -> None:
-        self._book = book
+        self._revisions = revisions
         self._fleet = fleet
         self._make_token = make_token
 
@@ -34,7 +38,7 @@
         draft: Draft,
         base: StoredRevision | None,
         expected_revision: int | None = None,
-    ) -> Accepted | RaceLost | Failure:
+    ) -> RevisionAccepted | RaceLost | Failure:
         """Make a draft the next revision and announce it to the instances.
 
         The instances are listed before the write, so that a store outage
@@ -45,17 +49,17 @@
             if base is None:
                 reason = f"{draft.environment} has no document in force"
                 return OBJECT_CONFLICT.with_reason(reason)
-            return self._book.race_lost(base.record, draft.text)
-        listed = await self._fleet.entries()
-        outcome = await self._book.accept(draft, base)
-        if not isinstance(outcome, Accepted):
+            return self._revisions.race_lost(base.record, draft.text)
+        listed = await self._fleet.list_entry_instances()
+        outcome = await self._revisions.accept(draft, base)
+        if not isinstance(outcome, RevisionAccepted):
             return outcome
         if outcome.replaced_by is None and not isinstance(listed, Failure):
             await self._fleet.announce(listed, outcome.stored_text)
             outcome = replace(outcome, instances=listed)
         # Recorded after the announcement, which an outage of the store must not
         # delay. The next writer adds the history entry if this write fails.
-        await self._book.record_in_history(outcome.record)
+        await self._revisions.record_in_history(outcome.record)
         return outcome
 
     def draft(
@@ -81,9 +85,9 @@
         *,
         wanted_digest: str = "",
         override_reason: str = "",
-    ) -> Accepted | RaceLost | PromotionVerdict | Failure:
+    ) -> RevisionAccepted | RaceLost | PromotionVerdict | Failure:
         """Publish the trial document in production if the policy allows it."""
-        production = await self._book.in_force(production_name)
+        production = await self._revisions.in_force(production_name)
         if isinstance(production, Failure):
             return production
         verdict = decide_promotion(
--- a/chestnuthall/services/_quarantine_exchange.py
+++ b/chestnuthall/services/_quarantine_exchange.py
@@ -9,7 +9,7 @@
     SuspicionState,
 )
 from chestnuthall.ports import Clock, PeerDigest, QuarantineNotice
-from chestnuthall.services._membership import N_URGENT_PEERS
+from chestnuthall.services._membership import N_URGENT_NOTICE_PEERS
 
 N_NOTICES_MAX = 8
 N_REPLICA_NAMES_MAX = 4
@@ -76,7 +76,7 @@
             await self._clock.sleep_ms(POLL_INTERVAL_MS)
             if self._record_own_losses() or self._has_unsent_notices:
                 self._has_unsent_notices = False
-                await self._disseminate(N_URGENT_PEERS)
+                await self._disseminate(N_URGENT_NOTICE_PEERS)
 
     def suspicions(self) -> tuple[Suspicion, ...]:
         """Return the suspicions of requests during which replicas were lost."""
@@ -92,7 +92,7 @@
         self._create_notice(
             fingerprint, frozenset(), self._clock.now_ms() + LIFT_RETENTION_MS
         )
-        await self._disseminate(N_URGENT_PEERS)
+        await self._disseminate(N_URGENT_NOTICE_PEERS)
         return was_known
 
     def add_to(self, digest: PeerDigest) -> PeerDigest:
--- a/chestnuthall/services/_query.py
+++ b/chestnuthall/services/_query.py
@@ -58,11 +58,11 @@
     unqueued_account,
 )
 from chestnuthall.services._claims import ClaimLedger
-from chestnuthall.services._configuration import ConfigurationKeeper
+from chestnuthall.services._configuration import ConfigurationManager
 from chestnuthall.services._decision_log import DecisionLog
 from chestnuthall.services._fan_out_run import CallObserver, FanOutRun, NoReplacementMap
 from chestnuthall.services._group_directory import GroupDirectory
-from chestnuthall.services._membership import Identity
+from chestnuthall.services._membership import InstanceIdentity
 from chestnuthall.services._query_rules import (
     admission_decision,
     bound_deadline,
@@ -71,7 +71,7 @@
     may_be_combined,
     n_slots,
 )
-from chestnuthall.services._suspects import Suspects
+from chestnuthall.services._suspicion_notifier import SuspicionNotifier
 
 RETRY_AFTER_MS = 1_000.0
 
@@ -117,12 +117,12 @@
     def __init__(
         self,
         *,
-        identity: Identity,
+        identity: InstanceIdentity,
         clock: Clock,
         metrics: Metrics,
         caller: ShardCaller,
         directory: GroupDirectory,
-        configuration: ConfigurationKeeper,
+        configuration: ConfigurationManager,
         ledger: ClaimLedger | None,
         quarantine: QuarantineRegistry,
         admissions: Admissions,
@@ -146,7 +146,7 @@
         self._configuration = configuration
         self._ledger = ledger
         self._quarantine = quarantine
-        self._suspects = Suspects(quarantine, clock, disseminate)
+        self._suspicion_notifier = SuspicionNotifier(quarantine, clock, disseminate)
         self._n_instances = n_instances
         self._utilisation: dict[str, UtilisationAverage] = {}
         self._admissions = admissions
@@ -341,7 +341,7 @@
             self._clock,
             self._caller,
             self._directory,
-            self._suspects,
+            self._suspicion_notifier,
             on_call_result,
         )
         return await run.complete()
@@ -359,7 +359,7 @@
             self._clock,
             self._caller,
             NoReplacementMap(),
-            self._suspects,
+            self._suspicion_notifier,
         )
         return await run.complete()
 
--- a/chestnuthall/services/_relay.py
+++ b/chestnuthall/services/_relay.py
@@ -14,7 +14,7 @@
 )
 from chestnuthall.core.results import NOT_FOUND, NOT_READY, Failure
 from chestnuthall.ports import RequestHandler
-from chestnuthall.services._configuration import ConfigurationKeeper
+from chestnuthall.services._configuration import ConfigurationManager
 from chestnuthall.services._group_directory import GroupDirectory
 from chestnuthall.services._query import Outcome
 
@@ -49,7 +49,7 @@
     def __init__(
         self,
         query: RequestHandler,
-        configuration: ConfigurationKeeper,
+        configuration: ConfigurationManager,
         directory: GroupDirectory,
     ) -> None:
         self._query = query
--- a/chestnuthall/services/_revisions.py
+++ b/chestnuthall/services/_revisions.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Accepted:
+class RevisionAccepted:
     """The write took effect; ``replaced_by`` is a later revision, if any.
 
     ``instances`` are the instances that it was announced to.
@@ -65,7 +65,7 @@
     differences: tuple[Difference, ...]
 
 
-class RevisionBook:
+class RevisionRepository:
     """Writes drafts as revisions by conditional update, and keeps the history."""
 
     def __init__(
@@ -138,7 +138,7 @@
 
     async def accept(
         self, draft: Draft, base: StoredRevision | None
-    ) -> Accepted | RaceLost | Failure:
+    ) -> RevisionAccepted | RaceLost | Failure:
         """Write a draft as the next revision after ``base``, the one that was read.
 
         The replaced revision is recorded in the history before the write.
@@ -160,7 +160,7 @@
 
     async def _write_and_resolve(
         self, record: RevisionRecord, base: StoredRevision | None
-    ) -> Accepted | RaceLost | Failure:
+    ) -> RevisionAccepted | RaceLost | Failure:
         text = self._codec.encode_record(record)
         version = 0 if base is None else base.version
         ends_at_ms = self._clock.now_ms() + RESOLVE_TIMEOUT_MS
@@ -170,7 +170,7 @@
                 ENVIRONMENT_KIND, record.environment, text, version
             )
             if isinstance(written, StoredObject):
-                return Accepted(record, text)
+                return RevisionAccepted(record, text)
             if written.kind is STORE_WRITE_UNKNOWN:
                 is_unresolved = True
             elif written.kind is not OBJECT_CONFLICT and not is_unresolved:
@@ -186,7 +186,7 @@
         text: str,
         base: StoredRevision | None,
         ends_at_ms: float,
-    ) -> Accepted | RaceLost | Failure | None:
+    ) -> RevisionAccepted | RaceLost | Failure | None:
         """Read back until the outcome is known; None means to retry the write."""
         while True:
             reading = await self._read_back(record, base)
@@ -198,9 +198,11 @@
             await self._clock.sleep_ms(RETRY_DELAY_MS)
         outcome, found = reading
         if outcome is WriteOutcome.ACCEPTED:
-            return Accepted(record, text)
+            return RevisionAccepted(record, text)
         if outcome is WriteOutcome.ACCEPTED_AND_REPLACED:
-            return Accepted(record, text, None if found is None else found.record)
+            return RevisionAccepted(
+                record, text, None if found is None else found.record
+            )
         if outcome is WriteOutcome.LOST:
             return self._conflict_result(record, found)
         if self._clock.now_ms() >= ends_at_ms:
--- a/chestnuthall/services/_shared_store.py
+++ b/chestnuthall/services/_shared_store.py
@@ -46,7 +46,7 @@
         kinds: Collection[str],
         timing: FeedTiming,
         selector: LeaderSelector,
-        near_peers: Callable[[], Sequence[InstanceEntry]],
+        same_zone_peers: Callable[[], Sequence[InstanceEntry]],
         seed_addresses: Sequence[str] = (),
     ) -> None:
         self._store = store
@@ -54,17 +54,17 @@
         self._feed_client = feed_client
         self._timing = timing
         self._leader_selector = selector
-        self._near_peers = near_peers
+        self._same_zone_peers = same_zone_peers
         self._seed_addresses = seed_addresses
         self._feeds = {kind: ObjectFeed(clock, timing.age_max_ms) for kind in kinds}
         # Kinds whose feeds this instance reads from the store itself.
         self._kinds_from_store: set[str] = set()
 
-    def feed(self, kind: str) -> ObjectFeed | None:
+    def store_feed(self, kind: str) -> ObjectFeed | None:
         """Return the feed of a shared kind, if it is read from the store."""
         return self._feeds[kind] if kind in self._kinds_from_store else None
 
-    def known(self, kind: str) -> ObjectFeed | None:
+    def any_feed(self, kind: str) -> ObjectFeed | None:
         """Return the feed of a shared kind, whatever its source."""
         return self._feeds.get(kind)
 
@@ -77,7 +77,7 @@
         if feed is None:
             return stored
         if not isinstance(stored, Failure):
-            feed.load((stored,), stored.seen_version or stored.version)
+            feed.replace_all((stored,), stored.seen_version or stored.version)
             feed.confirm()
             return stored
         if stored.kind is STORE_UNAVAILABLE:
@@ -96,7 +96,9 @@
             return listed
         if not isinstance(listed, Failure):
             if listed:
-                feed.load(listed, max(i.seen_version or i.version for i in listed))
+                feed.replace_all(
+                    listed, max(i.seen_version or i.version for i in listed)
+                )
                 feed.confirm()
             return listed
         if listed.kind is STORE_UNAVAILABLE:
@@ -128,7 +130,7 @@
                         "version": batch.version,
                     },
                 )
-            feed.load(batch.changed, batch.version)
+            feed.replace_all(batch.changed, batch.version)
             feed.confirm(answer.age_ms)
             return batch.changed
         return ()
@@ -143,7 +145,7 @@
 
     def _peer_addresses(self) -> list[str]:
         """Return the addresses to query: peers in the zone first, then the seeds."""
-        same_zone = [item.address for item in self._near_peers()]
+        same_zone = [item.address for item in self._same_zone_peers()]
         return [*same_zone[:N_PEERS_QUERIED], *self._seed_addresses]
 
     async def create(
@@ -183,7 +185,7 @@
         return WatchBatch(after_version, ())
 
     def _leader(self) -> InstanceEntry | None:
-        peers = {item.name: item for item in self._near_peers()}
+        peers = {item.name: item for item in self._same_zone_peers()}
         name = self._leader_selector.leader(peers, self._clock.now_ms())
         return None if name is None else peers[name]
 
--- a/chestnuthall/services/_status.py
+++ b/chestnuthall/services/_status.py
@@ -8,7 +8,7 @@
 from chestnuthall.core.model import Configuration
 from chestnuthall.core.results import OBJECT_NOT_FOUND, Failure
 from chestnuthall.ports import Clock, ObjectStore, StoredObject
-from chestnuthall.services._configuration import ConfigurationKeeper
+from chestnuthall.services._configuration import ConfigurationManager
 from chestnuthall.services._drain_news import DrainExchange
 from chestnuthall.services._lifecycle import Lifecycle
 from chestnuthall.services._membership import Membership
@@ -142,7 +142,7 @@
 
     status_name = "configuration"
 
-    def __init__(self, configuration: ConfigurationKeeper, clock: Clock) -> None:
+    def __init__(self, configuration: ConfigurationManager, clock: Clock) -> None:
         self._clock = clock
         self._revision = configuration.revision
         self._digest = ""
@@ -184,7 +184,7 @@
         }
 
 
-class NewsStatus:
+class NoticesStatus:
     """Drained replicas and quarantined requests."""
 
     status_name = "news"
--- a/chestnuthall/services/_store_calls.py
+++ b/chestnuthall/services/_store_calls.py
@@ -8,7 +8,7 @@
 WINDOW_MS = 60_000.0
 
 
-class CountedObjectStore:
+class CountingObjectStore:
     """An object store that counts each call, as the platform does.
 
     A watch counts once, however long it waits.
--- a/chestnuthall/services/_suspects.py
+++ b/chestnuthall/services/_suspicion_notifier.py
@@ -8,12 +8,12 @@
 
 # Maximum time that a probe waits for unresponsive peers. Reachable peers respond
 # within a few milliseconds.
-WARN_TIMEOUT_MS = 100.0
+NOTIFY_TIMEOUT_MS = 100.0
 
 Waiter = Callable[[], None]
 
 
-class Suspects:
+class SuspicionNotifier:
     """Sends suspicions of the quarantine registry to peers and running queries."""
 
     def __init__(
@@ -53,13 +53,13 @@
         for waiter in self._waiters.get(fingerprint, ()):
             loop.call_soon(waiter)
 
-    async def warn_peers(self) -> None:
-        """Wait until the peers are notified, for at most ``WARN_TIMEOUT_MS``."""
+    async def notify_peers(self) -> None:
+        """Wait until the peers are notified, for at most ``NOTIFY_TIMEOUT_MS``."""
         current_round = self._start_round()
         if current_round is None:
             return
         timer = asyncio.get_running_loop().create_task(
-            self._clock.sleep_ms(WARN_TIMEOUT_MS)
+            self._clock.sleep_ms(NOTIFY_TIMEOUT_MS)
         )
         try:
             await asyncio.wait(
--- a/chestnuthall/services/tests/_world.py
+++ b/chestnuthall/services/tests/_harness.py
@@ -37,9 +37,9 @@
 from chestnuthall.services import (
     Admissions,
     ClaimLedger,
-    ConfigurationKeeper,
+    ConfigurationManager,
     Directory,
-    Identity,
+    InstanceIdentity,
     QueryService,
 )
 
@@ -202,7 +202,7 @@
         self.random = Random(seed)
         self.upstreams = upstreams or FakeUpstreams(self.clock, self.random)
         self.registry = QuarantineRegistry(QuarantineSettings())
-        keeper = ConfigurationKeeper("t", self.store, self.clock, lambda text: None)
+        manager = ConfigurationManager("t", self.store, self.clock, lambda text: None)
         self.directory = Directory(
             self.store,
             self.upstreams,
@@ -212,12 +212,12 @@
             self.random,
         )
         self.query = QueryService(
-            identity=Identity("e", "e", "z0"),
+            identity=InstanceIdentity("e", "e", "z0"),
             clock=self.clock,
             metrics=_NoMetrics(),
             caller=self.upstreams,
             directory=self.directory,
-            configuration=keeper,
+            configuration=manager,
             admissions=Admissions(self.clock),
             ledger=ClaimLedger(self.store, self.clock, self.store, LedgerSettings()),
             quarantine=self.registry,
@@ -239,7 +239,7 @@
                 ),
             ),
         )
-        keeper.offer(
+        manager.offer(
             Configuration(
                 environment="t", revision=1, digest="", text="", document=document
             ),
--- a/chestnuthall/services/tests/test_class_deadline.py
+++ b/chestnuthall/services/tests/test_class_deadline.py
@@ -9,7 +9,7 @@
 import pytest
 
 from chestnuthall.core.model import Refusal
-from chestnuthall.services.tests._world import DEADLINE_MS, QueryHarness
+from chestnuthall.services.tests._harness import DEADLINE_MS, QueryHarness
 from chestnuthall.standins.virtual_time import run_virtual
 
 
--- a/chestnuthall/services/tests/test_configuration_fuzz.py
+++ b/chestnuthall/services/tests/test_configuration_fuzz.py
@@ -13,7 +13,7 @@
 
 from chestnuthall.core import configuration as core
 from chestnuthall.core.model import Configuration, EnvironmentDocument
-from chestnuthall.services import ConfigurationKeeper
+from chestnuthall.services import ConfigurationManager
 
 N_EXAMPLES = int(os.environ.get("CHESTNUTHALL_FUZZ_EXAMPLES", "150"))
 INSTANCES = st.integers(0, 2)
@@ -31,12 +31,12 @@
 
 
 class Instance:
-    """A configuration keeper with its follower, started during the test."""
+    """A configuration manager with its follower, started during the test."""
 
     def __init__(self):
-        self.keeper = ConfigurationKeeper("trial", None, None, None)
+        self.manager = ConfigurationManager("trial", None, None, None)
         self.applied = []
-        self.keeper.on_change(lambda item: self.applied.append(item.revision))
+        self.manager.on_change(lambda item: self.applied.append(item.revision))
         self.follower = core.ObjectFollower()
         self.action = core.ReadObject()
 
@@ -94,7 +94,7 @@
         if isinstance(action, core.ReadObject):
             position = max(0, len(self.history) - 1 - n_behind)
             version, configuration = self.history[position]
-            instance.keeper.offer(configuration, "store")
+            instance.manager.offer(configuration, "store")
             self.handle_event(instance, core.ObjectRead(self.now_ms, version))
         elif isinstance(action, core.Watch):
             self.answer_watch(instance, action.after_version)
@@ -105,7 +105,7 @@
             return
         version, configuration = self.history[-1]
         if version > after:
-            instance.keeper.offer(configuration, "store")
+            instance.manager.offer(configuration, "store")
         is_empty = version <= after
         self.handle_event(
             instance,
@@ -127,15 +127,15 @@
 
     @rule(sender=INSTANCES, receiver=INSTANCES)
     def offer_peer_configuration(self, sender, receiver):
-        in_force = self.instances[sender].keeper.in_force
+        in_force = self.instances[sender].manager.in_force
         if in_force is not None:
-            self.instances[receiver].keeper.offer(in_force, "peer")
+            self.instances[receiver].manager.offer(in_force, "peer")
 
     @rule(receiver=INSTANCES, data=st.data())
     def offer_old_copy(self, receiver, data):
         """An operator's announcement or a stalled peer's answer arrives late."""
         old_copy = data.draw(st.sampled_from(self.history))[1]
-        self.instances[receiver].keeper.offer(old_copy, "announced")
+        self.instances[receiver].manager.offer(old_copy, "announced")
 
     @rule(index=INSTANCES)
     def restart(self, index):
@@ -150,7 +150,7 @@
                 self.end_delay(index, True)
             else:
                 self.answer(index, 0)
-        assert instance.keeper.revision == self.history[-1][1].revision
+        assert instance.manager.revision == self.history[-1][1].revision
 
     @invariant()
     def revisions_only_increase(self):
@@ -162,7 +162,7 @@
         accepted = {item.revision: item.digest for _, item in self.history}
         assert len(accepted) == len(self.history)
         for instance in self.instances:
-            in_force = instance.keeper.in_force
+            in_force = instance.manager.in_force
             assert in_force is None or accepted[in_force.revision] == in_force.digest
 
 
--- a/chestnuthall/services/tests/test_crashing_requests.py
+++ b/chestnuthall/services/tests/test_crashing_requests.py
@@ -11,7 +11,7 @@
 
 from chestnuthall.core.model import Answer
 from chestnuthall.core.results import QUARANTINED
-from chestnuthall.services.tests._world import (
+from chestnuthall.services.tests._harness import (
     FakeUpstreams,
     LoopTimeClock,
     QueryHarness,
--- a/chestnuthall/services/tests/test_fault_matrix.py
+++ b/chestnuthall/services/tests/test_fault_matrix.py
@@ -12,7 +12,7 @@
 
 from chestnuthall.core.model import Answer
 from chestnuthall.core.results import RetryAdvice, RunState
-from chestnuthall.services.tests._world import (
+from chestnuthall.services.tests._harness import (
     DEADLINE_MS,
     FLOOR_RATIO,
     QueryHarness,
--- a/chestnuthall/services/tests/test_presence.py
+++ b/chestnuthall/services/tests/test_presence.py
@@ -10,8 +10,8 @@
     STORE_UNAVAILABLE,
 )
 from chestnuthall.ports import StoredObject
-from chestnuthall.services import InstanceEntry, Presence
-from chestnuthall.services.tests._world import LoopTimeClock
+from chestnuthall.services import InstanceEntry, InstancePresence
+from chestnuthall.services.tests._harness import LoopTimeClock
 from chestnuthall.standins.virtual_time import run_virtual
 
 OWN = InstanceEntry("own", "10.0.0.1:1", "a")
@@ -52,7 +52,9 @@
     counted = []
 
     async def scenario():
-        presence = Presence(OWN, store, LoopTimeClock(), counted.append, read, write)
+        presence = InstancePresence(
+            OWN, store, LoopTimeClock(), counted.append, read, write
+        )
         task = asyncio.get_running_loop().create_task(presence.run())
         await asyncio.sleep(wait_s)
         task.cancel()
@@ -86,7 +88,7 @@
     assert counted == counts
     if counts:
         assert [item.name for item in presence.peers] == ["near", "far"]
-        assert [item.name for item in presence.near_peers] == ["near"]
+        assert [item.name for item in presence.same_zone_peers] == ["near"]
         assert presence.n_instances_in_zone() == 2
 
 
--- a/chestnuthall/services/tests/test_serving.py
+++ b/chestnuthall/services/tests/test_serving.py
@@ -4,7 +4,7 @@
 
 from chestnuthall.core.model import PartitionMap, Refusal
 from chestnuthall.core.results import NO_REPLICA
-from chestnuthall.services.tests._world import QueryHarness, make_map
+from chestnuthall.services.tests._harness import QueryHarness, make_map
 from chestnuthall.standins.virtual_time import run_virtual
 
 
--- a/chestnuthall/services/tests/test_shared_store.py
+++ b/chestnuthall/services/tests/test_shared_store.py
@@ -17,7 +17,7 @@
 )
 from chestnuthall.ports import StoredObject, WatchBatch
 from chestnuthall.services import InstanceEntry, ObjectFeed, SharedObjectStore
-from chestnuthall.services.tests._world import LoopTimeClock
+from chestnuthall.services.tests._harness import LoopTimeClock
 from chestnuthall.standins.virtual_time import run_virtual
 
 KIND = "k"
@@ -126,14 +126,14 @@
         failure = await self._failure_of_call(address, timeout_ms)
         if failure is not None:
             return failure
-        feed = self.stores[address].feed(kind)
+        feed = self.stores[address].store_feed(kind)
         if feed is None:
             return NOT_READY.with_reason("no feed")
         return await feed.watch(after_version, timeout_ms)
 
     async def snapshot(self, address, kind, timeout_ms):
         failure = await self._failure_of_call(address, timeout_ms)
-        return failure or self.stores[address].known(kind).snapshot()
+        return failure or self.stores[address].any_feed(kind).snapshot()
 
 
 class Fleet:
@@ -419,7 +419,7 @@
 
     async def scenario():
         feed = ObjectFeed(LoopTimeClock(), 1_000.0)
-        feed.load((StoredObject(KIND, "z", 5, "0"),), 10)
+        feed.replace_all((StoredObject(KIND, "z", 5, "0"),), 10)
         for version, names, deleted_names in batches:
             objects = tuple(StoredObject(KIND, name, version, "1") for name in names)
             feed.apply(WatchBatch(version, objects, tuple(deleted_names)))
@@ -439,7 +439,7 @@
 def test_feed_that_the_store_no_longer_confirms_is_refused():
     async def scenario():
         feed = ObjectFeed(LoopTimeClock(), 1_000.0)
-        feed.load((StoredObject(KIND, "z", 5, "0"),), 10)
+        feed.replace_all((StoredObject(KIND, "z", 5, "0"),), 10)
         feed.confirm()
         started_s = asyncio.get_running_loop().time()
         result = await feed.watch(10, 5_000.0)
