--- a/chestnuthall/cli/_promotion.py
+++ b/chestnuthall/cli/_promotion.py
@@ -41,7 +41,7 @@
         return output.report_failure(found)
     verdict = decide_promotion(found, None, session.promotion_policy)
     if found is None:
-        return output.report_error(ExitCode.NOT_FOUND, verdict.lacks[0])
+        return output.report_error(ExitCode.NOT_FOUND, verdict.missing[0])
     _print_evidence(output, found, verdict)
     return ExitCode.OK if verdict.is_allowed else ExitCode.NOT_PROVEN
 
@@ -55,9 +55,9 @@
             "revision": record.revision,
             "digest": record.digest,
             "summary": found.summary(),
-            "lacks": list(verdict.lacks),
+            "lacks": list(verdict.missing),
             "instances": [asdict(item) for item in found.instances],
-            "silent": list(found.silent_names),
+            "silent": list(found.names_without_status),
             "fast_burn": list(found.fast_burn_classes),
         }
     )
@@ -73,7 +73,7 @@
         )
         for item in found.instances
     ]
-    rows += [(name, "no answer", "-", "-", "-") for name in found.silent_names]
+    rows += [(name, "no answer", "-", "-", "-") for name in found.names_without_status]
     title = f"{record.environment} revision {record.revision} by {record.author or '-'}"
     columns = ("instance", "in force", "since", "requests", "refused")
     output.print_table(title, columns, rows)
@@ -81,9 +81,9 @@
         f"in force for {format_duration(found.in_force_ms)};"
         f" fast burn: {', '.join(found.fast_burn_classes) or 'none'}"
     )
-    for lack in verdict.lacks:
+    for lack in verdict.missing:
         output.print_text(f"lacking: {lack}")
-    if not verdict.lacks:
+    if not verdict.missing:
         output.print_text("this is enough to promote it")
 
 
@@ -115,12 +115,12 @@
         output.print_json({"accepted": False, "already_in_force": True})
         output.print_text("production has exactly this document in force already")
         return ExitCode.OK
-    lines = ["not promoted:", *(f"  {lack}" for lack in verdict.lacks)]
+    lines = ["not promoted:", *(f"  {lack}" for lack in verdict.missing)]
     if verdict.decision is PromotionDecision.REFUSE_NO_EVIDENCE:
         lines.append('to promote all the same: --override "reason for the history"')
     return output.report_error(
         ExitCode.NOT_PROVEN,
         "\n".join(lines),
         decision=verdict.decision.value,
-        lacks=list(verdict.lacks),
+        lacks=list(verdict.missing),
     )
--- a/chestnuthall/cli/tests/test_publication.py
+++ b/chestnuthall/cli/tests/test_publication.py
@@ -320,7 +320,7 @@
     trial, result, production = asyncio.run(scenario())
     if not is_promoted:
         assert isinstance(result, PromotionVerdict)
-        assert any(item.startswith(lack) for item in result.lacks), result.lacks
+        assert any(item.startswith(lack) for item in result.missing), result.missing
         assert production is None
         return
     assert production.record.text == trial.record.text == document(1)
--- a/chestnuthall/core/configuration/_leaders.py
+++ b/chestnuthall/core/configuration/_leaders.py
@@ -10,9 +10,9 @@
 # Number of leaders that an instance tries in order.
 N_LEADERS_MAX = 3
 # How long a failed leader is skipped, or the store after a failed call to it.
-AVOID_MS = 3_000.0
+DEPRIORITISE_MS = 3_000.0
 # The same for a leader that answered but is not ready; it may watch the store soon.
-AVOID_NOT_READY_MS = 500.0
+DEPRIORITISE_NOT_READY_MS = 500.0
 # Delay per position before the next leader is tried. It gives that leader time to
 # switch to the store after its own leader has failed.
 STAGGER_MS = 20.0
@@ -99,12 +99,12 @@
         self, name: str, now_ms: float, is_responsive: bool = False
     ) -> None:
         """Skip a leader for a while, for less time if it has answered."""
-        duration_ms = AVOID_NOT_READY_MS if is_responsive else AVOID_MS
+        duration_ms = DEPRIORITISE_NOT_READY_MS if is_responsive else DEPRIORITISE_MS
         self._deprioritised_until_ms[name] = now_ms + duration_ms
 
     def deprioritise_store(self, now_ms: float) -> None:
         """Prefer any leader to the store for a while after a failed store call."""
-        self._store_deprioritised_until_ms = now_ms + AVOID_MS
+        self._store_deprioritised_until_ms = now_ms + DEPRIORITISE_MS
 
     @property
     def stagger_ms(self) -> float:
--- a/chestnuthall/core/configuration/_promotion.py
+++ b/chestnuthall/core/configuration/_promotion.py
@@ -25,14 +25,14 @@
 class TrialEvidence:
     """Evidence about the revision that is in force in trial.
 
-    ``silent_names`` are the instances without a status report.
+    ``names_without_status`` are the instances without a status report.
     ``fast_burn_classes`` are the classes whose error budget burns fast.
     """
 
     record: RevisionRecord
     gathered_wall_ms: float
     instances: tuple[InstanceEvidence, ...] = ()
-    silent_names: tuple[str, ...] = ()
+    names_without_status: tuple[str, ...] = ()
     fast_burn_classes: tuple[str, ...] = ()
 
     @property
@@ -64,7 +64,7 @@
         """Return the evidence as one line of text, for the history."""
         return (
             f"in force on {len(self.instances_in_force)} of"
-            f" {len(self.instances) + len(self.silent_names)} instances"
+            f" {len(self.instances) + len(self.names_without_status)} instances"
             f" for {self.in_force_ms / 1000.0:.0f} s,"
             f" {self.n_requests} requests, {self.n_refused} refused,"
             f" fast burn: {', '.join(self.fast_burn_classes) or 'none'}"
@@ -92,10 +92,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PromotionVerdict:
-    """A decision, with one sentence in ``lacks`` per missing piece of evidence."""
+    """A decision, with one sentence in ``missing`` per missing piece of evidence."""
 
     decision: PromotionDecision
-    lacks: tuple[str, ...] = ()
+    missing: tuple[str, ...] = ()
 
     @property
     def is_allowed(self) -> bool:
@@ -129,42 +129,42 @@
         return PromotionVerdict(PromotionDecision.REFUSE_OTHER_DIGEST, (lack,))
     if production is not None and production.digest == digest:
         return PromotionVerdict(PromotionDecision.ALREADY_IN_FORCE)
-    lacks = _missing_evidence(evidence, policy)
-    if not lacks:
+    missing = _missing_evidence(evidence, policy)
+    if not missing:
         return PromotionVerdict(PromotionDecision.PROMOTE)
     if override_reason.strip():
-        return PromotionVerdict(PromotionDecision.PROMOTE_OVERRIDDEN, lacks)
-    return PromotionVerdict(PromotionDecision.REFUSE_NO_EVIDENCE, lacks)
+        return PromotionVerdict(PromotionDecision.PROMOTE_OVERRIDDEN, missing)
+    return PromotionVerdict(PromotionDecision.REFUSE_NO_EVIDENCE, missing)
 
 
 def _missing_evidence(
     evidence: TrialEvidence, policy: PromotionPolicy
 ) -> tuple[str, ...]:
-    lacks = []
+    missing = []
     outdated_names = [
         item.name
         for item in evidence.instances
         if item not in evidence.instances_in_force
     ]
     if not evidence.instances_in_force:
-        lacks.append("no instance of trial has the document in force")
+        missing.append("no instance of trial has the document in force")
     elif outdated_names:
-        lacks.append(f"not in force on {', '.join(outdated_names)}")
-    if evidence.silent_names:
-        lacks.append(f"no status from {', '.join(evidence.silent_names)}")
+        missing.append(f"not in force on {', '.join(outdated_names)}")
+    if evidence.names_without_status:
+        missing.append(f"no status from {', '.join(evidence.names_without_status)}")
     if evidence.instances_in_force and evidence.in_force_ms < policy.in_force_min_ms:
-        lacks.append(
+        missing.append(
             f"in force for {evidence.in_force_ms / 1000.0:.0f} s;"
             f" {policy.in_force_min_ms / 1000.0:.0f} s are needed"
         )
     if evidence.n_requests < policy.n_requests_min:
-        lacks.append(
+        missing.append(
             f"{evidence.n_requests} requests were served under it;"
             f" {policy.n_requests_min} are needed"
         )
     for class_name in evidence.fast_burn_classes:
-        lacks.append(f"the error budget of class {class_name} burns fast")
-    return tuple(lacks)
+        missing.append(f"the error budget of class {class_name} burns fast")
+    return tuple(missing)
 
 
 def promotion_draft(
--- a/chestnuthall/core/configuration/tests/test_promotion.py
+++ b/chestnuthall/core/configuration/tests/test_promotion.py
@@ -31,7 +31,7 @@
 FAST_BURN = replace(SUFFICIENT, fast_burn_classes=("clerk",))
 SAME_DOCUMENT = replace(RECORD, environment="production", revision=8)
 
-# (case, evidence, production, options, decision, lacks)
+# (case, evidence, production, options, decision, missing)
 CASES = [
     ("sufficient evidence", SUFFICIENT, None, {}, DECISION.PROMOTE, []),
     (
@@ -78,7 +78,7 @@
     ),
     (
         "one instance without status",
-        replace(SUFFICIENT, silent_names=("entry-9",)),
+        replace(SUFFICIENT, names_without_status=("entry-9",)),
         None,
         {},
         DECISION.REFUSE_NO_EVIDENCE,
@@ -104,13 +104,13 @@
 
 
 @pytest.mark.parametrize(
-    ("evidence", "production", "options", "decision", "lacks"),
+    ("evidence", "production", "options", "decision", "missing"),
     [case[1:] for case in CASES],
     ids=[case[0] for case in CASES],
 )
-def test_promotion(evidence, production, options, decision, lacks):
+def test_promotion(evidence, production, options, decision, missing):
     verdict = decide_promotion(evidence, production, PromotionPolicy(), **options)
-    assert verdict.decision is decision, verdict.lacks
-    assert len(verdict.lacks) == len(lacks), verdict.lacks
-    for found, start in zip(verdict.lacks, lacks, strict=True):
+    assert verdict.decision is decision, verdict.missing
+    assert len(verdict.missing) == len(missing), verdict.missing
+    for found, start in zip(verdict.missing, missing, strict=True):
         assert found.startswith(start)
--- a/chestnuthall/services/_fleet_view.py
+++ b/chestnuthall/services/_fleet_view.py
@@ -185,7 +185,7 @@
                 if isinstance(status, InstanceStatus)
                 and status.environment == record.environment
             ),
-            silent_names=tuple(
+            names_without_status=tuple(
                 x.listed.name for x in seen if isinstance(x.status, Failure)
             ),
             fast_burn_classes=fast_burn_classes,
--- a/chestnuthall/services/_publication.py
+++ b/chestnuthall/services/_publication.py
@@ -105,7 +105,7 @@
             author,
             reason,
             self._make_token(),
-            override_reason if verdict.lacks else "",
+            override_reason if verdict.missing else "",
         )
         return await self.publish(draft, production)
 
