--- a/benchmarks/_processor_time.py
+++ b/benchmarks/_processor_time.py
@@ -264,7 +264,7 @@
     figures: Figures = {}
     points = []
     async with LocalFleet(plan) as fleet:
-        whole = fleet.maps["g"]
+        whole = fleet.partition_maps["g"]
         for fan_out in FAN_OUTS:
             part = replace(whole, shards=whole.shards[:fan_out])
             bare_us, query_us = await _least_of_rounds(part, document, n_queries)
--- a/benchmarks/faults.py
+++ b/benchmarks/faults.py
@@ -96,7 +96,7 @@
         """Start one more instance and give it load once it is ready."""
         instance = await self.fleet.start_instance(self._next_index)
         self._next_index += 1
-        await instance.client.wait_status("/v1/health", 200)
+        await instance.client.wait_for_status("/v1/health", 200)
         self.fleet.instances.append(instance)
 
     async def pause_instance(self) -> None:
@@ -139,7 +139,7 @@
 
     async def swap_snapshot(self) -> None:
         """Replace the snapshot everywhere at once, keeping no older one."""
-        current = self.fleet.maps[SEARCH.name]
+        current = self.fleet.partition_maps[SEARCH.name]
         newer = replace(current, snapshot_id=current.snapshot_id + 1)
         await self.fleet.publish_snapshot(newer)
         await self.step(f"swapped the index to snapshot {newer.snapshot_id}")
@@ -246,17 +246,21 @@
     """Return the counts that must all be zero."""
     seen = faults.seen
     n_lost = sum(
-        count for name, count in report.disconnected.items() if name not in seen.excused
+        count
+        for name, count in report.n_unanswered_by_instance.items()
+        if name not in seen.excused
     )
-    run_counts = {key: seen.mutations_run.count(key) for key in report.mutation_runs}
+    run_counts = {
+        key: seen.mutations_run.count(key) for key in report.run_states_by_key
+    }
     n_false_not_run = sum(
         1
-        for key, runs in report.mutation_runs.items()
+        for key, runs in report.run_states_by_key.items()
         if run_counts[key] > 0 and all(item == "no" for item in runs)
     )
     n_confirmed_not_run = sum(
         1
-        for key, runs in report.mutation_runs.items()
+        for key, runs in report.run_states_by_key.items()
         if "yes" in runs and run_counts[key] == 0
     )
     return {
@@ -312,10 +316,10 @@
                 "verdict": verdict,
                 "n_requests": report.n_requests,
                 "n_mutations_run": len(faults.seen.mutations_run),
-                "codes": dict(report.codes),
+                "codes": dict(report.n_by_result),
                 "p50_ms": round(ordered[len(ordered) // 2], 1),
                 "p99_ms": round(ordered[int(len(ordered) * 0.99)], 1),
-                "examples": report.examples,
+                "examples": report.violation_examples,
             },
             indent=2,
         )
--- a/benchmarks/fleet/spread.py
+++ b/benchmarks/fleet/spread.py
@@ -30,7 +30,7 @@
         directory, clock, listed, instance.membership.disseminate_now
     )
     instance.membership.add_section(drains)
-    instance.parts["drains"] = drains
+    instance.services["drains"] = drains
 
 
 def _address(index: int) -> str:
@@ -48,7 +48,7 @@
     )
     fleet = VirtualFleet(0, seed, _add_drains, settings)
     for index in range(n_instances):
-        fleet.put_on_list(f"entry-{index}", _address(index))
+        fleet.add_to_instance_list(f"entry-{index}", _address(index))
     for index in range(n_instances):
         fleet.start(f"entry-{index}", _address(index), is_listed=False)
     return fleet
@@ -57,7 +57,7 @@
 async def _run(n_instances: int, seed: int) -> dict[str, float]:
     fleet = _make_fleet(n_instances, seed)
     await asyncio.sleep(2.0)
-    origin = fleet.instances["entry-0"].parts["drains"]
+    origin = fleet.instances["entry-0"].services["drains"]
     n_before = fleet.network.n_messages
     origin.on_signal("replica-1", DrainSignal.ANSWER)
     loop = asyncio.get_running_loop()
@@ -67,7 +67,7 @@
     while waiting:
         await asyncio.sleep(STEP_S)
         waiting = [
-            item for item in waiting if not item.parts["drains"].active_notices()
+            item for item in waiting if not item.services["drains"].active_notices()
         ]
         if loop.time() - started_s < 0.2:
             n_after_first_s = len(waiting)
--- a/chestnuthall/daemon/tests/test_claims_on_store.py
+++ b/chestnuthall/daemon/tests/test_claims_on_store.py
@@ -26,7 +26,10 @@
     "slow": {"delay_ms": 50.0},
     "too-slow": {"delay_ms": 700.0},
     "answer-withheld": {"n_lost_write_answers": 1},
-    "answer-truncated": {"n_lost_write_answers": 2, "lost_answer": LostAnswer.CUT},
+    "answer-truncated": {
+        "n_lost_write_answers": 2,
+        "lost_answer": LostAnswer.CONNECTION_CLOSED,
+    },
     "answer-500": {"n_lost_write_answers": 3, "lost_answer": LostAnswer.ERROR_500},
     "late-write": {"n_late_writes": 1, "late_write_ms": 550.0},
     "later-writes": {"n_late_writes": 2, "late_write_ms": 1_500.0},
--- a/chestnuthall/daemon/tests/test_configuration_on_store.py
+++ b/chestnuthall/daemon/tests/test_configuration_on_store.py
@@ -151,7 +151,7 @@
 
     async def scenario(fleet):
         await fleet.accept(1)
-        fleet.clients[2].is_cut_off = True
+        fleet.clients[2].is_disconnected = True
 
         async def publish_revision():
             await asyncio.sleep(5.0)
@@ -165,7 +165,7 @@
 
 
 @pytest.mark.parametrize(
-    ("stale_ms", "is_cut_off", "peer_revision", "expected"),
+    ("stale_ms", "is_disconnected", "peer_revision", "expected"),
     [
         pytest.param(0.0, False, None, 2, id="store-only"),
         pytest.param(0.0, True, 2, 2, id="peers-only"),
@@ -175,7 +175,7 @@
     ],
 )
 def test_start_applies_the_highest_known_revision(
-    stale_ms, is_cut_off, peer_revision, expected
+    stale_ms, is_disconnected, peer_revision, expected
 ):
     """A starting instance must not serve an older revision than it can obtain."""
 
@@ -187,10 +187,10 @@
         if peer_revision is not None:
             fleet.managers[1].offer_text(configuration_text(peer_revision), "test")
         fleet.service.set_faults(StoreFaults(delay_ms=50.0, stale_read_ms=stale_ms))
-        fleet.clients[0].is_cut_off = is_cut_off
+        fleet.clients[0].is_disconnected = is_disconnected
         task = asyncio.ensure_future(fleet.managers[0].run())
         await asyncio.sleep(0.04)
-        assert not fleet.managers[0].is_ready or is_cut_off
+        assert not fleet.managers[0].is_ready or is_disconnected
         await asyncio.sleep(0.011)
         ready = fleet.managers[0].is_ready
         task.cancel()
@@ -208,11 +208,11 @@
 
         async def publish_revision():
             await asyncio.sleep(1.0)
-            fleet.clients[0].is_cut_off = True
+            fleet.clients[0].is_disconnected = True
             await asyncio.sleep(5.0)
             await fleet.accept(2)
             fleet.service.table.trim_history()
-            fleet.clients[0].is_cut_off = False
+            fleet.clients[0].is_disconnected = False
             await asyncio.sleep(PROPAGATION_LIMIT_MS / 1000.0)
 
         return await run_managers(fleet, publish_revision)
--- a/chestnuthall/daemon/tests/test_membership.py
+++ b/chestnuthall/daemon/tests/test_membership.py
@@ -76,17 +76,17 @@
 async def _isolate(fleet):
     """Lose all messages to and from the instance for 30 s."""
     others = fleet.addresses(_instance_names() - {LAST_NAME})
-    fleet.network.cut_both([fleet.instances[LAST_NAME].address], others)
+    fleet.network.drop_messages_both_ways([fleet.instances[LAST_NAME].address], others)
     await asyncio.sleep(30.0)
-    fleet.network.heal()
+    fleet.network.restore_messages()
     return None
 
 
 async def _lose_outgoing_messages(fleet):
     others = fleet.addresses(_instance_names() - {LAST_NAME})
-    fleet.network.cut([fleet.instances[LAST_NAME].address], others)
+    fleet.network.drop_messages([fleet.instances[LAST_NAME].address], others)
     await asyncio.sleep(30.0)
-    fleet.network.heal()
+    fleet.network.restore_messages()
     return None
 
 
@@ -105,7 +105,7 @@
 
 async def _restart_while_listed_as_leaving(fleet):
     """Restart the instance while its list entry is the predecessor's, leaving."""
-    fleet.put_on_list(LAST_NAME, fleet.instances[LAST_NAME].address, "leaving")
+    fleet.add_to_instance_list(LAST_NAME, fleet.instances[LAST_NAME].address, "leaving")
     await asyncio.sleep(1.0)
     fleet.kill(LAST_NAME)
     await asyncio.sleep(1.0)
@@ -121,7 +121,7 @@
 
 async def _list_unknown_instance(fleet):
     """List an instance without a process; it must be dropped from the counts."""
-    fleet.put_on_list("entry-77", "10.0.9.9:1")
+    fleet.add_to_instance_list("entry-77", "10.0.9.9:1")
     await asyncio.sleep(30.0)
     return None
 
@@ -205,14 +205,16 @@
         await fleet.wait_until_converged()
         one_side = [f"entry-{index}" for index in range(n_on_one_side)]
         other_side = sorted(_instance_names() - set(one_side))
-        fleet.network.cut_both(fleet.addresses(one_side), fleet.addresses(other_side))
+        fleet.network.drop_messages_both_ways(
+            fleet.addresses(one_side), fleet.addresses(other_side)
+        )
         n_holders_min = N_INSTANCES
         for _ in range(1200):
             await asyncio.sleep(0.1)
             for instance in fleet.instances.values():
                 counts = instance.membership.counts
                 n_holders_min = min(n_holders_min, counts.n_connection_holders)
-        fleet.network.heal()
+        fleet.network.restore_messages()
         await fleet.wait(lambda: fleet.have_equal_views(_instance_names()), 60.0)
         return n_holders_min
 
@@ -225,9 +227,9 @@
     async def scenario():
         fleet = VirtualFleet(N_INSTANCES)
         await fleet.wait_until_converged()
-        fleet.network.set_delay(fleet.instances[LAST_NAME].address, 600.0)
+        fleet.network.set_extra_delay(fleet.instances[LAST_NAME].address, 600.0)
         await asyncio.sleep(2.5)
-        fleet.network.set_delay(fleet.instances[LAST_NAME].address, 0.0)
+        fleet.network.set_extra_delay(fleet.instances[LAST_NAME].address, 0.0)
         n_incomplete_views = 0
         for _ in range(200):
             await asyncio.sleep(0.1)
@@ -267,7 +269,7 @@
         await fleet.wait_until_converged()
         isolated = fleet.instances[LAST_NAME]
         others = fleet.addresses(_instance_names() - {LAST_NAME})
-        fleet.network.cut_both([isolated.address], others)
+        fleet.network.drop_messages_both_ways([isolated.address], others)
         await asyncio.sleep(60.0)
         states = [item.state for item in isolated.membership.members()]
         return isolated.membership.n_instances, states.count("suspect")
@@ -286,7 +288,7 @@
         fleet = VirtualFleet(N_INSTANCES)
         await fleet.wait_until_converged()
         one_side, other_side = fleet.addresses(["entry-0", LAST_NAME])
-        fleet.network.cut_both([one_side], [other_side])
+        fleet.network.drop_messages_both_ways([one_side], [other_side])
         n_suspected = 0
         for _ in range(600):
             await asyncio.sleep(0.1)
@@ -303,7 +305,9 @@
     async def scenario():
         fleet = VirtualFleet(N_INSTANCES)
         await fleet.wait_until_converged()
-        fleet.put_on_list(LAST_NAME, fleet.instances[LAST_NAME].address, "leaving")
+        fleet.add_to_instance_list(
+            LAST_NAME, fleet.instances[LAST_NAME].address, "leaving"
+        )
         await asyncio.sleep(0.5)
         counts = fleet.instances["entry-0"].membership.counts
         return counts.n_live, counts.n_leaving
--- a/chestnuthall/daemon/tests/test_notices.py
+++ b/chestnuthall/daemon/tests/test_notices.py
@@ -67,7 +67,7 @@
         health = HealthChecks(upstream, directory, drains, membership, clock, random)
         membership.add_section(drains)
         membership.add_section(quarantines)
-        instance.parts.update(
+        instance.services.update(
             clock=clock,
             drains=drains,
             directory=directory,
@@ -87,7 +87,9 @@
 def n_using_replica(fleet):
     """Count the instances that would send the replica a new call now."""
     return sum(
-        item.parts["router"].serves_snapshot(REPLICA, 1, item.parts["clock"].now_ms())
+        item.services["router"].serves_snapshot(
+            REPLICA, 1, item.services["clock"].now_ms()
+        )
         for item in fleet.instances.values()
     )
 
@@ -109,16 +111,16 @@
 
 def _drain_by_refused_connection(fleet, upstream):
     upstream.is_listening = False
-    fleet.instances["entry-3"].parts["drains"].on_signal("r0", DrainSignal.REFUSED)
+    fleet.instances["entry-3"].services["drains"].on_signal("r0", DrainSignal.REFUSED)
 
 
 def _drain_by_answer(fleet, upstream):
     upstream.is_draining = True
-    fleet.instances["entry-3"].parts["drains"].on_signal("r0", DrainSignal.ANSWER)
+    fleet.instances["entry-3"].services["drains"].on_signal("r0", DrainSignal.ANSWER)
 
 
 def _drain_by_operator(fleet, upstream):
-    fleet.instances["entry-3"].parts["drains"].on_signal("r0", DrainSignal.OPERATOR)
+    fleet.instances["entry-3"].services["drains"].on_signal("r0", DrainSignal.OPERATOR)
 
 
 SIGNALS = {
@@ -212,12 +214,12 @@
         missed = fleet.instances["entry-8"]
         others = fleet.addresses([name for name in fleet.instances if name[-1] != "8"])
         if fault == "cut":
-            fleet.network.cut_both([missed.address], others)
+            fleet.network.drop_messages_both_ways([missed.address], others)
         else:
             missed.host.pause()
         _drain_by_answer(fleet, upstream)
         await asyncio.sleep(6.0)
-        fleet.network.heal()
+        fleet.network.restore_messages()
         missed.host.resume()
         await asyncio.sleep(PROPAGATION_LIMIT_S)
         return n_using_replica(fleet)
@@ -234,19 +236,19 @@
 
         def n_refusing():
             return sum(
-                item.parts["quarantines"].is_quarantined("f")
+                item.services["quarantines"].is_quarantined("f")
                 for item in fleet.instances.values()
             )
 
         for index in (1, 2):
-            services = fleet.instances[f"entry-{index}"].parts
+            services = fleet.instances[f"entry-{index}"].services
             now_ms = services["clock"].now_ms()
             record_replica_loss(services["quarantine_registry"], index, now_ms)
         await asyncio.sleep(PROPAGATION_LIMIT_S)
         n_before = n_refusing()
         # This instance misses the lift and then sends its outdated quarantine.
         fleet.instances["entry-8"].host.pause()
-        await fleet.instances["entry-5"].parts["quarantines"].lift("f")
+        await fleet.instances["entry-5"].services["quarantines"].lift("f")
         await asyncio.sleep(PROPAGATION_LIMIT_S)
         fleet.instances["entry-8"].host.resume()
         await asyncio.sleep(PROPAGATION_LIMIT_S)
@@ -263,14 +265,14 @@
     async def scenario():
         fleet = make_fleet(Upstream())
         await fleet.wait_until_converged()
-        services = fleet.instances["entry-1"].parts
+        services = fleet.instances["entry-1"].services
         for index in range(2):
             record_replica_loss(
                 services["quarantine_registry"], index, services["clock"].now_ms()
             )
         await asyncio.sleep(301.0)
         return sum(
-            bool(item.parts["quarantines"].suspicions())
+            bool(item.services["quarantines"].suspicions())
             for item in fleet.instances.values()
         )
 
@@ -283,9 +285,11 @@
     async def scenario():
         fleet = make_fleet(Upstream())
         await fleet.wait_until_converged()
-        fleet.instances["entry-1"].parts["drains"].on_signal("r0", DrainSignal.OPERATOR)
+        fleet.instances["entry-1"].services["drains"].on_signal(
+            "r0", DrainSignal.OPERATOR
+        )
         await asyncio.sleep(PROPAGATION_LIMIT_S)
-        services = fleet.instances["entry-2"].parts
+        services = fleet.instances["entry-2"].services
         services["directory"].add_group(replace(GROUP, name="late"))
         await asyncio.sleep(PROPAGATION_LIMIT_S)
         now_ms = services["clock"].now_ms()
--- a/chestnuthall/daemon/tests/virtual_fleet.py
+++ b/chestnuthall/daemon/tests/virtual_fleet.py
@@ -39,7 +39,7 @@
         return tuple(_stored(entry) for entry in self._table.list_kind(kind))
 
     async def watch(self, kind, after_version, timeout_ms):
-        changes = await self._table.wait_changes(
+        changes = await self._table.wait_for_changes(
             kind, after_version, timeout_ms / 1000.0
         )
         await self._host.wait_running()
@@ -69,7 +69,7 @@
     host: Host
     membership: Membership
     tasks: list[asyncio.Task] = field(default_factory=list)
-    parts: dict[str, object] = field(default_factory=dict)
+    services: dict[str, object] = field(default_factory=dict)
 
     @property
     def live_names(self):
@@ -102,7 +102,7 @@
         for index in range(n_instances):
             self.start(f"entry-{index}")
 
-    def put_on_list(self, name, address, state="live"):
+    def add_to_instance_list(self, name, address, state="live"):
         model = InstanceModel(
             name=name,
             role="entry",
@@ -137,7 +137,7 @@
             self._add_services(instance, clock, listed)
         self.network.listen(address, membership, host)
         if is_listed:
-            self.put_on_list(name, address)
+            self.add_to_instance_list(name, address)
         loop = asyncio.get_running_loop()
         instance.tasks = [
             loop.create_task(listed.run()),
--- a/chestnuthall/standins/fleet/__main__.py
+++ b/chestnuthall/standins/fleet/__main__.py
@@ -40,7 +40,7 @@
         running = await fleet.start_instance(N_TRIAL_INSTANCES, "production")
         fleet.instances.append(running)
         # Without a document the instance is not ready, but it serves operators.
-        await running.client.wait_status("/v1/admin/status", 200)
+        await running.client.wait_for_status("/v1/admin/status", 200)
         profile = {
             "store_address": fleet.store_address,
             "operator": arguments.operator,
--- a/chestnuthall/standins/fleet/_client.py
+++ b/chestnuthall/standins/fleet/_client.py
@@ -62,7 +62,7 @@
         finally:
             self._pool.release(connection)
 
-    async def wait_status(
+    async def wait_for_status(
         self, target: str, status: int, timeout_s: float = 15.0
     ) -> None:
         """Poll a target until it answers with a status, or raise TimeoutError."""
--- a/chestnuthall/standins/fleet/_fleet.py
+++ b/chestnuthall/standins/fleet/_fleet.py
@@ -104,7 +104,7 @@
         self.plan = plan
         self.replicas: list[RunningReplica] = []
         self.instances: list[RunningInstance] = []
-        self.maps: dict[str, PartitionMap] = {}
+        self.partition_maps: dict[str, PartitionMap] = {}
         self._directory = tempfile.TemporaryDirectory(prefix="chestnuthall-")
         self.path = Path(self._directory.name)
 
@@ -129,7 +129,7 @@
         for index in range(self.plan.n_instances):
             self.instances.append(await self.start_instance(index))
         await asyncio.gather(
-            *(item.client.wait_status("/v1/health", 200) for item in self.instances)
+            *(item.client.wait_for_status("/v1/health", 200) for item in self.instances)
         )
 
     async def _start_store(self) -> None:
@@ -139,7 +139,7 @@
         self.store_process = await self._launch(
             "object-api", "chestnuthall.standins.objectapi", ["--port", str(port)]
         )
-        await self.store.wait_status("/calls", 200)
+        await self.store.wait_for_status("/calls", 200)
 
     async def _launch(
         self, name: str, module: str, arguments: list[str]
@@ -178,7 +178,7 @@
         arguments += ["--connect-cost-ms", str(plan.connect_cost_ms)]
         process = await self._launch(name, "chestnuthall.standins.upstream", arguments)
         address = f"{HOST}:{port}"
-        await JsonClient(address).wait_status("/v1/health", 200)
+        await JsonClient(address).wait_for_status("/v1/health", 200)
         replica = Replica(name, address, zone)
         return RunningReplica(replica, plan.name, f"s{shard_index:02d}", process)
 
@@ -199,7 +199,7 @@
                 if item.group == partition_map.group and item.process.is_running
             )
         )
-        self.maps[partition_map.group] = partition_map
+        self.partition_maps[partition_map.group] = partition_map
         target = f"/v1/objects/partition-maps/{partition_map.group}"
         await self.store.send("PUT", target, json.loads(text))
 
--- a/chestnuthall/standins/load/_driver.py
+++ b/chestnuthall/standins/load/_driver.py
@@ -34,21 +34,22 @@
 class LoadReport:
     """Results of the requests.
 
-    ``mutation_runs`` maps an idempotency key to the run states that its replies
-    report. ``disconnected`` counts the requests without a reply by instance.
+    ``run_states_by_key`` maps an idempotency key to the run states that its replies
+    report. ``n_unanswered_by_instance`` counts the requests without a reply by
+    instance.
     """
 
-    codes: Counter[str] = field(default_factory=Counter)
+    n_by_result: Counter[str] = field(default_factory=Counter)
     violations: Counter[str] = field(default_factory=Counter)
-    disconnected: Counter[str] = field(default_factory=Counter)
-    mutation_runs: dict[str, list[str]] = field(default_factory=dict)
+    n_unanswered_by_instance: Counter[str] = field(default_factory=Counter)
+    run_states_by_key: dict[str, list[str]] = field(default_factory=dict)
     latencies_ms: list[float] = field(default_factory=list)
-    examples: list[str] = field(default_factory=list)
+    violation_examples: list[str] = field(default_factory=list)
 
     @property
     def n_requests(self) -> int:
         """Number of requests that were answered or failed without a reply."""
-        return sum(self.codes.values())
+        return sum(self.n_by_result.values())
 
 
 class LoadDriver:
@@ -114,9 +115,9 @@
         started_s = time.perf_counter()
         reply = await client.send("POST", target, body, self._plan.timeout_s)
         self.report.latencies_ms.append((time.perf_counter() - started_s) * 1000.0)
-        self.report.codes[str(reply.body.get("result", reply.status))] += 1
+        self.report.n_by_result[str(reply.body.get("result", reply.status))] += 1
         if reply.status == 0:
-            self.report.disconnected[name] += 1
+            self.report.n_unanswered_by_instance[name] += 1
         return reply
 
     def _record_violations(
@@ -124,8 +125,8 @@
     ) -> None:
         for violation in violations:
             self.report.violations[violation.value] += 1
-            if len(self.report.examples) < 5:
-                self.report.examples.append(f"{request_id}: {reply.body}")
+            if len(self.report.violation_examples) < 5:
+                self.report.violation_examples.append(f"{request_id}: {reply.body}")
 
     def _common_fields(self, request_id: str, group: str) -> dict[str, Any]:
         return {
@@ -168,7 +169,7 @@
         replies = await asyncio.gather(
             self._post("/v1/mutate", body), self._post_after_delay("/v1/mutate", body)
         )
-        self.report.mutation_runs[f"key-{request_id}"] = [
+        self.report.run_states_by_key[f"key-{request_id}"] = [
             "yes" if reply.status == 200 else str(reply.body.get("run", "unknown"))
             for reply in replies
         ]
--- a/chestnuthall/standins/objectapi/_faults.py
+++ b/chestnuthall/standins/objectapi/_faults.py
@@ -17,7 +17,7 @@
     """What the client receives instead of the answer to a write that took effect."""
 
     WITHHELD = "withheld"
-    CUT = "cut"
+    CONNECTION_CLOSED = "cut"
     ERROR_500 = "500"
 
 
--- a/chestnuthall/standins/objectapi/_memory.py
+++ b/chestnuthall/standins/objectapi/_memory.py
@@ -42,13 +42,13 @@
 class MemoryObjectStore:
     """A client of an ``ObjectService`` without any transport.
 
-    Clients of the same service see each other's writes. While ``is_cut_off``
+    Clients of the same service see each other's writes. While ``is_disconnected``
     is set, calls of this client are refused.
     """
 
     def __init__(self, service: ObjectService) -> None:
         self.service = service
-        self.is_cut_off = False
+        self.is_disconnected = False
 
     async def get(
         self, kind: str, name: str, timeout_ms: float
@@ -104,7 +104,7 @@
         self, call: Call, timeout_ms: float
     ) -> Reply | ConnectionDrop | None:
         """Return the reply, or None if the call timed out."""
-        if self.is_cut_off:
+        if self.is_disconnected:
             return ConnectionDrop.REFUSED
         try:
             # ``asyncio.wait_for`` of Python 3.11 loses a cancellation that
--- a/chestnuthall/standins/objectapi/_objects.py
+++ b/chestnuthall/standins/objectapi/_objects.py
@@ -139,7 +139,7 @@
                 latest[change.name] = change
         return sorted(latest.values(), key=lambda change: change.version)
 
-    async def wait_changes(
+    async def wait_for_changes(
         self, kind: str, version: int, timeout_s: float
     ) -> list[ObjectChange]:
         """Wait for changes of a kind after a version and return them.
--- a/chestnuthall/standins/objectapi/_service.py
+++ b/chestnuthall/standins/objectapi/_service.py
@@ -82,7 +82,7 @@
     """How a connection is closed without an answer."""
 
     REFUSED = "refused"
-    CUT = "cut"
+    CONNECTION_CLOSED = "cut"
 
 
 class ObjectService:
@@ -198,7 +198,7 @@
     @_run.register
     async def _(self, call: WatchCall) -> Reply | ConnectionDrop:
         timeout_s = min(call.timeout_ms, WATCH_TIMEOUT_MAX_MS) / 1000.0
-        changes = await self.table.wait_changes(call.kind, call.after, timeout_s)
+        changes = await self.table.wait_for_changes(call.kind, call.after, timeout_s)
         body = {
             "version": max((item.version for item in changes), default=call.after),
             "changed": [asdict(item.entry) for item in changes if item.entry],
@@ -233,7 +233,7 @@
     async def _lose_answer(self) -> Reply | ConnectionDrop:
         if self.faults.lost_answer is LostAnswer.ERROR_500:
             return Reply(500, {"error": "internal error"})
-        if self.faults.lost_answer is LostAnswer.CUT:
-            return ConnectionDrop.CUT
+        if self.faults.lost_answer is LostAnswer.CONNECTION_CLOSED:
+            return ConnectionDrop.CONNECTION_CLOSED
         await asyncio.sleep(WITHHOLD_DURATION_S)
-        return ConnectionDrop.CUT
+        return ConnectionDrop.CONNECTION_CLOSED
--- a/chestnuthall/standins/objectapi/tests/test_contract.py
+++ b/chestnuthall/standins/objectapi/tests/test_contract.py
@@ -86,7 +86,7 @@
     "slow": StoreFaults(delay_ms=40.0),
     "too-slow": StoreFaults(delay_ms=450.0),
     "withheld": LOST_ANSWER,
-    "cut": replace(LOST_ANSWER, lost_answer=LostAnswer.CUT),
+    "cut": replace(LOST_ANSWER, lost_answer=LostAnswer.CONNECTION_CLOSED),
     "500": replace(LOST_ANSWER, lost_answer=LostAnswer.ERROR_500),
     "late": StoreFaults(n_late_writes=1, late_write_ms=700.0),
     "stale": StoreFaults(stale_read_ms=500.0),
--- a/chestnuthall/standins/peers/_network.py
+++ b/chestnuthall/standins/peers/_network.py
@@ -52,20 +52,22 @@
         """Return the transport of the instance at an address."""
         return FakePeerTransport(self, address, host)
 
-    def cut(self, sources: list[str], targets: list[str]) -> None:
+    def drop_messages(self, sources: list[str], targets: list[str]) -> None:
         """Drop all messages from the sources to the targets, in this direction only."""
         self._dropped_links.update((a, b) for a in sources for b in targets)
 
-    def cut_both(self, one_side: list[str], other_side: list[str]) -> None:
+    def drop_messages_both_ways(
+        self, one_side: list[str], other_side: list[str]
+    ) -> None:
         """Drop all messages between two sides."""
-        self.cut(one_side, other_side)
-        self.cut(other_side, one_side)
+        self.drop_messages(one_side, other_side)
+        self.drop_messages(other_side, one_side)
 
-    def heal(self) -> None:
+    def restore_messages(self) -> None:
         """Deliver messages between all addresses again."""
         self._dropped_links.clear()
 
-    def set_delay(self, address: str, extra_ms: float) -> None:
+    def set_extra_delay(self, address: str, extra_ms: float) -> None:
         """Add a delay to every message to or from an address."""
         self._extra_delays_ms[address] = extra_ms
 
