--- a/benchmarks/faults.py
+++ b/benchmarks/faults.py
@@ -103,7 +103,7 @@
         """Start an instance and add it to the load balancer once it is healthy."""
         instance = await self.fleet.start_instance(self._next_index)
         self._next_index += 1
-        await instance.client.wait_status("/v1/health", 200)
+        await instance.client.wait_for_status("/v1/health", 200)
         self.fleet.instances.append(instance)
 
     async def pause_instance(self) -> None:
@@ -146,7 +146,7 @@
 
     async def swap_snapshot(self) -> None:
         """Replace the snapshot at all replicas at once, without keeping older ones."""
-        current = self.fleet.maps[SEARCH_GROUP.name]
+        current = self.fleet.partition_maps[SEARCH_GROUP.name]
         newer = replace(current, snapshot_id=current.snapshot_id + 1)
         await self.fleet.publish_snapshot(newer)
         await self.report_step(f"swapped the index to snapshot {newer.snapshot_id}")
@@ -258,20 +258,20 @@
     observations = faults.observations
     n_lost = sum(
         count
-        for name, count in report.disconnected.items()
+        for name, count in report.n_unanswered_by_instance.items()
         if name not in observations.disrupted_instances
     )
     run_counts = {
-        key: observations.mutations_run.count(key) for key in report.mutation_runs
+        key: observations.mutations_run.count(key) for key in report.run_states_by_key
     }
     n_false_not_run = sum(
         1
-        for key, runs in report.mutation_runs.items()
+        for key, runs in report.run_states_by_key.items()
         if run_counts[key] > 0 and all(item == "no" for item in runs)
     )
     n_confirmed_not_run = sum(
         1
-        for key, runs in report.mutation_runs.items()
+        for key, runs in report.run_states_by_key.items()
         if "yes" in runs and run_counts[key] == 0
     )
     return {
@@ -334,10 +334,10 @@
                 "verdict": verdict,
                 "n_requests": report.n_requests,
                 "n_mutations_run": len(faults.observations.mutations_run),
-                "codes": dict(report.codes),
+                "codes": dict(report.n_by_result),
                 "p50_ms": round(ordered[len(ordered) // 2], 1),
                 "p99_ms": round(ordered[int(len(ordered) * 0.99)], 1),
-                "examples": report.examples,
+                "examples": report.violation_examples,
             },
             indent=2,
         )
--- a/chestnuthall/cli/_document_commands.py
+++ b/chestnuthall/cli/_document_commands.py
@@ -11,7 +11,7 @@
 from chestnuthall.adapters.commentedjson import describe_problems
 from chestnuthall.adapters.documents import (
     check_environment,
-    digest_of,
+    document_digest,
     read_environment,
 )
 from chestnuthall.adapters.settings import read_profile, read_settings
@@ -94,10 +94,10 @@
     if isinstance(checked, ExitCode):
         return checked
     text, document = checked
-    output.print_json({"digest": digest_of(text), "problems": []})
+    output.print_json({"digest": document_digest(text), "problems": []})
     output.print_text(
         f"{file} is valid: {len(document.classes)} classes,"
-        f" {len(document.groups)} groups, digest {digest_of(text)[:12]}"
+        f" {len(document.groups)} groups, digest {document_digest(text)[:12]}"
     )
     return ExitCode.OK
 
@@ -138,14 +138,16 @@
     session: Session, environment: str, text: str, document: EnvironmentDocument
 ) -> ExitCode:
     output = session.output
-    in_force = await session.revision_book.in_force(environment)
+    in_force = await session.revision_repository.in_force(environment)
     if isinstance(in_force, Failure):
         return output.report_failure(in_force)
     old = None if in_force is None else read_environment(in_force.record.text)
     if isinstance(old, Failure):
         return output.report_failure(old)
     revision = 0 if in_force is None else in_force.record.revision
-    same_bytes = in_force is not None and in_force.record.digest == digest_of(text)
+    same_bytes = in_force is not None and in_force.record.digest == document_digest(
+        text
+    )
     found = differences(old, document)
     output.print_json(
         {
@@ -211,21 +213,21 @@
     session: Session, text: str, reason: str, expect_revision: int | None
 ) -> ExitCode:
     environment = session.profile.trial_environment
-    base = await session.revision_book.in_force(environment)
+    base = await session.revision_repository.in_force(environment)
     if isinstance(base, Failure):
         return session.output.report_failure(base)
     if _has_same_digest(base, text) and expect_revision is None:
         return _report_already_in_force(session, base)
-    draft = session.publication.draft(
-        environment, text, digest_of(text), session.profile.operator, reason
+    draft = session.publisher.draft(
+        environment, text, document_digest(text), session.profile.operator, reason
     )
     with session.output.progress("writing to the store"):
-        outcome = await session.publication.publish(draft, base, expect_revision)
+        outcome = await session.publisher.publish(draft, base, expect_revision)
     return await report_write_result(session, outcome)
 
 
 def _has_same_digest(base: StoredRevision | None, text: str) -> bool:
-    return base is not None and base.record.digest == digest_of(text)
+    return base is not None and base.record.digest == document_digest(text)
 
 
 def _report_already_in_force(session: Session, base: StoredRevision | None) -> ExitCode:
@@ -276,7 +278,7 @@
         Reason to promote without proof.
     """
     session = open_session(common)
-    wanted_digest = "" if file is None else digest_of(read_file(file))
+    wanted_digest = "" if file is None else document_digest(read_file(file))
     return run(promote(session, _require_reason(reason), wanted_digest, override))
 
 
@@ -300,7 +302,7 @@
 
 
 async def _history(session: Session, environment: str, last: int) -> ExitCode:
-    found = await session.revision_book.history(environment)
+    found = await session.revision_repository.history(environment)
     if isinstance(found, Failure):
         return session.output.report_failure(found)
     records = found.records[-max(1, last) :]
@@ -361,7 +363,7 @@
 
 async def _show(session: Session, environment: str, revision: int | None) -> ExitCode:
     output = session.output
-    found = await session.revision_book.history(environment)
+    found = await session.revision_repository.history(environment)
     if isinstance(found, Failure):
         return output.report_failure(found)
     record = found.find(found.last_revision if revision is None else revision)
