--- a/chestnuthall/core/admission/_events.py
+++ b/chestnuthall/core/admission/_events.py
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FleetUseReported(AdmissionEvent):
+class FleetUsageReported(AdmissionEvent):
     """Other instances served ``cost`` more shard calls of a class."""
 
     class_name: str
--- a/chestnuthall/core/admission/_fleet.py
+++ b/chestnuthall/core/admission/_fleet.py
@@ -82,8 +82,10 @@
             return report.served_cost
         return max(0.0, report.served_cost - previous.report.served_cost)
 
-    def forget(self, live_names: frozenset[str], received_before_ms: float) -> None:
-        """Drop instances that left or have not reported since a time."""
+    def remove_stale(
+        self, live_names: frozenset[str], received_before_ms: float
+    ) -> None:
+        """Remove instances that left or have not reported since a time."""
         self._latest = {
             key: received
             for key, received in self._latest.items()
--- a/chestnuthall/core/admission/_queue.py
+++ b/chestnuthall/core/admission/_queue.py
@@ -15,7 +15,7 @@
     Arrive,
     DemandReported,
     ExpireDue,
-    FleetUseReported,
+    FleetUsageReported,
     LimitChanged,
     Reconfigured,
     Refuse,
@@ -385,7 +385,7 @@
 
 
 @_apply.register
-def _(event: FleetUseReported, queue: AdmissionQueue) -> list[AdmissionAction]:
+def _(event: FleetUsageReported, queue: AdmissionQueue) -> list[AdmissionAction]:
     class_queue = queue.queues.get(event.class_name)
     if class_queue is not None:
         class_queue.reconcile(event.cost)
--- a/chestnuthall/core/admission/tests/test_queue.py
+++ b/chestnuthall/core/admission/tests/test_queue.py
@@ -14,7 +14,7 @@
     Arrive,
     DemandReported,
     ExpireDue,
-    FleetUseReported,
+    FleetUsageReported,
     LimitChanged,
     Reconfigured,
     Refuse,
@@ -73,7 +73,7 @@
 LIMIT_HOLDER = arrive("hold", "tiny", cost=30.0)
 LIMIT_HOLDER_ADMITTED = "hold immediate"
 # Puts the class "first" so far ahead that only "second" is within its share.
-FIRST_OVER_SHARE = FleetUseReported(0.0, "first", 1e6)
+FIRST_OVER_SHARE = FleetUsageReported(0.0, "first", 1e6)
 
 ORDERS = {
     "free_capacity_admits_immediately": ([LIMIT_HOLDER], [LIMIT_HOLDER_ADMITTED]),
@@ -121,7 +121,7 @@
             LIMIT_HOLDER,
             arrive("f", "first"),
             arrive("u", "urgent"),
-            FleetUseReported(0.0, "urgent", 1e6),
+            FleetUsageReported(0.0, "urgent", 1e6),
             end("hold"),
         ],
         [LIMIT_HOLDER_ADMITTED, "f least_normalised_service"],
@@ -132,7 +132,7 @@
             ReleaseCalls(0.0, "hold", 1.0, 10.0),
             arrive("f", "first"),
             arrive("u", "urgent"),
-            FleetUseReported(0.0, "urgent", 1e6),
+            FleetUsageReported(0.0, "urgent", 1e6),
             DemandReported(0.0, "urgent", 0.1),
             end("hold"),
         ],
@@ -282,7 +282,7 @@
     if action == "end" and running:
         return end(running[value % len(running)], now_ms)
     if action == "use":
-        return FleetUseReported(now_ms, caller_class.name, value * 20.0)
+        return FleetUsageReported(now_ms, caller_class.name, value * 20.0)
     if action == "limit":
         return LimitChanged(now_ms, 5.0 + value)
     if action != "arrive":
--- a/chestnuthall/services/_admission.py
+++ b/chestnuthall/services/_admission.py
@@ -14,7 +14,7 @@
     Arrive,
     DemandReported,
     ExpireDue,
-    FleetUseReported,
+    FleetUsageReported,
     LimitChanged,
     Reconfigured,
     Refuse,
@@ -188,7 +188,7 @@
 
     def on_fleet_use(self, class_name: str, cost: float) -> None:
         """Count the shard calls that other instances served for a class."""
-        self._handle(FleetUseReported(self._clock.now_ms(), class_name, cost))
+        self._handle(FleetUsageReported(self._clock.now_ms(), class_name, cost))
 
     def on_call_result(
         self,
--- a/chestnuthall/services/_fleet_usage.py
+++ b/chestnuthall/services/_fleet_usage.py
@@ -99,7 +99,7 @@
         """Set this instance's quota of each group from the known demand."""
         now_ms = self._clock.now_ms()
         members = frozenset(member.name for member in self._read_members())
-        self._ledger.forget(members, now_ms - RETENTION_MS)
+        self._ledger.remove_stale(members, now_ms - RETENTION_MS)
         for group, admission in self._admissions.items():
             costs = admission.offered.by_class(now_ms)
             n_instances = 1 + len(members)
