--- a/chestnuthall/core/quarantine/_registry.py
+++ b/chestnuthall/core/quarantine/_registry.py
@@ -81,7 +81,7 @@
         self._cleared: dict[str, _Clearance] = {}
         self._listeners: list[Listener] = []
 
-    def on_change(self, listener: Listener) -> None:
+    def add_listener(self, listener: Listener) -> None:
         """Add a listener for changes of state.
 
         It is called with the fingerprint, its new state and whether the change was
--- a/chestnuthall/daemon/_instance.py
+++ b/chestnuthall/daemon/_instance.py
@@ -204,7 +204,7 @@
             self.configuration,
             lambda: self.membership.counts.n_connection_holders,
         )
-        self.configuration.on_change(self._disseminate_revision)
+        self.configuration.add_listener(self._disseminate_revision)
         if settings.two_level_fan_out:
             self._enable_two_level_fan_out(clock)
         self.administration = Administration(
--- a/chestnuthall/daemon/tests/test_configuration_on_store.py
+++ b/chestnuthall/daemon/tests/test_configuration_on_store.py
@@ -41,7 +41,7 @@
     """Run a scenario while the managers run and exchange configurations."""
     logs = [[] for _ in fleet.managers]
     for manager, log in zip(fleet.managers, logs, strict=True):
-        manager.on_change(
+        manager.add_listener(
             lambda item, log=log: log.append((item.revision, fleet.clock.now_ms()))
         )
     tasks = [asyncio.ensure_future(manager.run()) for manager in fleet.managers]
@@ -323,8 +323,8 @@
 
     async def scenario(fleet):
         manager, revisions = fleet.managers[0], []
-        manager.on_change(lambda item: 1 / 0)
-        manager.on_change(lambda item: revisions.append(item.revision))
+        manager.add_listener(lambda item: 1 / 0)
+        manager.add_listener(lambda item: revisions.append(item.revision))
         manager.offer_text(configuration_text(1), "test")
         return revisions
 
--- a/chestnuthall/platform/_instance.py
+++ b/chestnuthall/platform/_instance.py
@@ -280,7 +280,7 @@
         )
         self.readiness_server = HttpServer(ReadinessFrontend(self.is_ready).handle)
         self.metrics_server = HttpServer(self._serve_metrics)
-        self.configuration.on_change(self._apply_limits)
+        self.configuration.add_listener(self._apply_limits)
         self._overload = OverloadDetector(LagSettings())
         self._tasks: list[asyncio.Task[None]] = []
 
--- a/chestnuthall/services/_burn.py
+++ b/chestnuthall/services/_burn.py
@@ -97,7 +97,7 @@
         self._flushing = asyncio.Lock()
         self._n_by_result: dict[str, int] = {}
         self._since_wall_ms = 0.0
-        configuration.on_change(self._reset_counts)
+        configuration.add_listener(self._reset_counts)
 
     def _reset_counts(self, configuration: Configuration) -> None:
         self._n_by_result = {}
--- a/chestnuthall/services/_configuration.py
+++ b/chestnuthall/services/_configuration.py
@@ -101,8 +101,8 @@
             confirmed_ms = self._clock.now_ms() - max(0.0, age_ms)
             self._confirmed_ms = max(self._confirmed_ms, confirmed_ms)
 
-    def on_change(self, listener: ConfigurationListener) -> None:
-        """Call a listener with each configuration that comes into force."""
+    def add_listener(self, listener: ConfigurationListener) -> None:
+        """Add a listener, called with each configuration that comes into force."""
         self._listeners.append(listener)
 
     def offer(self, offered: Configuration, source: str) -> RevisionDecision:
@@ -215,5 +215,7 @@
             return self._in_force
         future: asyncio.Future[Configuration]
         future = asyncio.get_running_loop().create_future()
-        self.on_change(lambda item: None if future.done() else future.set_result(item))
+        self.add_listener(
+            lambda item: None if future.done() else future.set_result(item)
+        )
         return await future
--- a/chestnuthall/services/_connections.py
+++ b/chestnuthall/services/_connections.py
@@ -34,7 +34,7 @@
         self._configuration = configuration
         self._n_instances = n_instances
         self._budget: ConnectionBudget | None = None
-        configuration.on_change(lambda _: self.update())
+        configuration.add_listener(lambda _: self.update())
 
     def update(self) -> None:
         """Set the budgets for the current number of instances."""
--- a/chestnuthall/services/_drain_news.py
+++ b/chestnuthall/services/_drain_news.py
@@ -62,7 +62,7 @@
         self._listed_leaving: set[str] = set()
         self._dissemination: asyncio.Task[None] | None = None
         self._has_unsent_notices = False
-        instances.on_change(self._on_list_change)
+        instances.add_listener(self._on_list_change)
 
     def on_signal(self, replica_name: str, signal: DrainSignal) -> None:
         """Record that this instance observed the drain of a replica."""
--- a/chestnuthall/services/_instance_list.py
+++ b/chestnuthall/services/_instance_list.py
@@ -40,8 +40,8 @@
         """Return the last known list; empty before the first read."""
         return tuple(self._entries.values())
 
-    def on_change(self, listener: ListListener) -> None:
-        """Call a listener with the complete list after each change."""
+    def add_listener(self, listener: ListListener) -> None:
+        """Add a listener that is called with the complete list after each change."""
         self._listeners.append(listener)
 
     async def run(self) -> None:
--- a/chestnuthall/services/_membership.py
+++ b/chestnuthall/services/_membership.py
@@ -119,7 +119,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._fetching_revision = 0
         self._shard_set_handler: ShardSetHandler | None = None
-        instances.on_change(self._process_list)
+        instances.add_listener(self._process_list)
 
     @property
     def identity(self) -> InstanceIdentity:
@@ -145,8 +145,8 @@
         """Add the section of a service to the digests."""
         self._sections.append(section)
 
-    def on_change(self, listener: CountsListener) -> None:
-        """Call a listener with the counts after each change."""
+    def add_listener(self, listener: CountsListener) -> None:
+        """Add a listener that is called with the counts after each change."""
         self._listeners.append(listener)
 
     def on_superseded(self, listener: SupersededListener) -> None:
--- a/chestnuthall/services/_quarantine_exchange.py
+++ b/chestnuthall/services/_quarantine_exchange.py
@@ -54,7 +54,7 @@
         self._disseminate = disseminate
         self._notices: dict[str, _NoticeState] = {}
         self._has_unsent_notices = False
-        registry.on_change(self._on_change)
+        registry.add_listener(self._on_change)
 
     def _on_change(
         self, fingerprint: str, state: SuspicionState, is_local: bool
--- a/chestnuthall/services/_query.py
+++ b/chestnuthall/services/_query.py
@@ -153,7 +153,7 @@
         self._budgets: dict[str, ExtraLoad] = {}
         self._shared_budget = shared_budget
         self._divided_search: DividedSearch | None = None
-        configuration.on_change(self._apply_configuration)
+        configuration.add_listener(self._apply_configuration)
 
     def _apply_configuration(self, configuration: Configuration) -> None:
         document = configuration.document
--- a/chestnuthall/services/_relay.py
+++ b/chestnuthall/services/_relay.py
@@ -57,8 +57,8 @@
         self._configuration = configuration
         self._splits: dict[str, WeightedRoundRobin] = {}
         self._floor_by_group: dict[str, float] = {}
-        configuration.on_change(self._remove_changed_splits)
-        configuration.on_change(self._update_floors)
+        configuration.add_listener(self._remove_changed_splits)
+        configuration.add_listener(self._update_floors)
 
     def _remove_changed_splits(self, configuration: Configuration) -> None:
         """Remove the state of the splits whose targets a revision changes."""
--- a/chestnuthall/services/_status.py
+++ b/chestnuthall/services/_status.py
@@ -147,7 +147,7 @@
         self._revision = configuration.revision
         self._digest = ""
         self._since_wall_ms = 0.0
-        configuration.on_change(self._update)
+        configuration.add_listener(self._update)
 
     def _update(self, configuration: Configuration) -> None:
         self._revision = configuration.revision
--- a/chestnuthall/services/_suspicion_notifier.py
+++ b/chestnuthall/services/_suspicion_notifier.py
@@ -27,7 +27,7 @@
         self._waiters: dict[str, list[Waiter]] = {}
         self._running_round: asyncio.Task[None] | None = None
         self._next_round: asyncio.Task[None] | None = None
-        registry.on_change(self._on_change)
+        registry.add_listener(self._on_change)
 
     def add_waiter(self, fingerprint: str, waiter: Waiter) -> None:
         """Call ``waiter`` when a suspicion of a fingerprint is resolved."""
--- a/chestnuthall/services/tests/test_configuration_fuzz.py
+++ b/chestnuthall/services/tests/test_configuration_fuzz.py
@@ -36,7 +36,7 @@
     def __init__(self):
         self.manager = ConfigurationManager("trial", None, None, None)
         self.applied = []
-        self.manager.on_change(lambda item: self.applied.append(item.revision))
+        self.manager.add_listener(lambda item: self.applied.append(item.revision))
         self.follower = core.ObjectFollower()
         self.action = core.ReadObject()
 
