--- a/benchmarks/faults.py
+++ b/benchmarks/faults.py
@@ -16,7 +16,7 @@
 from cyclopts import run
 
 from chestnuthall.standins.fleet import FleetPlan, GroupPlan, JsonClient, LocalFleet
-from chestnuthall.standins.fleet._fleet import RunningInstance, keys_of_shard
+from chestnuthall.standins.fleet._fleet import RunningInstance, shard_keys
 from chestnuthall.standins.load import AnswerChecker, LoadDriver, LoadPlan, LoadReport
 
 DOCUMENT_PATH = Path(__file__).parents[1] / "examples" / "environment.jsonc"
@@ -302,7 +302,7 @@
     keys = [
         key
         for index in range(SEARCH_GROUP.n_shards)
-        for key in keys_of_shard(SEARCH_GROUP, index)
+        for key in shard_keys(SEARCH_GROUP, index)
     ]
     load_plan = LoadPlan(
         search_group=SEARCH_GROUP.name,
--- a/chestnuthall/standins/fleet/_fleet.py
+++ b/chestnuthall/standins/fleet/_fleet.py
@@ -73,7 +73,7 @@
         self.client = JsonClient(self.address)
 
 
-def keys_of_shard(plan: GroupPlan, index: int) -> tuple[str, ...]:
+def shard_keys(plan: GroupPlan, index: int) -> tuple[str, ...]:
     """Return the keys of one shard; the first letter decides the shard."""
     first, last = _letters_of_shard(plan.n_shards, index)
     letters = ALPHABET[first:last]
@@ -211,7 +211,7 @@
         text: str,
     ) -> None:
         plan = next(plan for plan in self.plan.groups if plan.name == item.group)
-        keys = keys_of_shard(plan, int(item.shard_id[1:]))
+        keys = shard_keys(plan, int(item.shard_id[1:]))
         snapshots = [
             {
                 "group": item.group,
