--- a/chestnuthall/cli/_promotion.py
+++ b/chestnuthall/cli/_promotion.py
@@ -81,8 +81,8 @@
         f"in force for {format_duration(found.in_force_ms)};"
         f" fast burn: {', '.join(found.fast_burn_classes) or 'none'}"
     )
-    for lack in verdict.missing:
-        output.print_text(f"lacking: {lack}")
+    for missing_item in verdict.missing:
+        output.print_text(f"lacking: {missing_item}")
     if not verdict.missing:
         output.print_text("this is enough to promote it")
 
@@ -115,7 +115,10 @@
         output.print_json({"accepted": False, "already_in_force": True})
         output.print_text("production has exactly this document in force already")
         return ExitCode.OK
-    lines = ["not promoted:", *(f"  {lack}" for lack in verdict.missing)]
+    lines = [
+        "not promoted:",
+        *(f"  {missing_item}" for missing_item in verdict.missing),
+    ]
     if verdict.decision is PromotionDecision.REFUSE_NO_EVIDENCE:
         lines.append('to promote all the same: --override "reason for the history"')
     return output.report_error(
--- a/chestnuthall/cli/tests/test_publication.py
+++ b/chestnuthall/cli/tests/test_publication.py
@@ -265,7 +265,7 @@
 
 
 GOOD = (("OK", 40), ("QUEUE_FULL", 1))
-# (case, age in ms, digest matches, counts by result, override, promoted, lack)
+# (case, age in ms, digest matches, counts by result, override, promoted, missing item)
 PROMOTIONS = [
     ("with evidence", 70_000, True, GOOD, "", True, ""),
     (
@@ -285,12 +285,12 @@
 
 
 @pytest.mark.parametrize(
-    ("age_ms", "matches", "counts", "override", "is_promoted", "lack"),
+    ("age_ms", "matches", "counts", "override", "is_promoted", "missing_item"),
     [case[1:] for case in PROMOTIONS],
     ids=[case[0] for case in PROMOTIONS],
 )
 def test_promotion_keeps_the_digest_and_requires_evidence(
-    age_ms, matches, counts, override, is_promoted, lack
+    age_ms, matches, counts, override, is_promoted, missing_item
 ):
     """Guards against promoting a document without evidence from trial."""
 
@@ -320,7 +320,9 @@
     trial, result, production = asyncio.run(scenario())
     if not is_promoted:
         assert isinstance(result, PromotionVerdict)
-        assert any(item.startswith(lack) for item in result.missing), result.missing
+        assert any(item.startswith(missing_item) for item in result.missing), (
+            result.missing
+        )
         assert production is None
         return
     assert production.record.text == trial.record.text == document(1)
--- a/chestnuthall/core/configuration/_promotion.py
+++ b/chestnuthall/core/configuration/_promotion.py
@@ -92,7 +92,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PromotionVerdict:
-    """A decision, with one sentence in ``missing`` per missing piece of evidence."""
+    """Decision on whether a trial document may be promoted.
+
+    ``missing`` has one sentence for each missing piece of evidence.
+    """
 
     decision: PromotionDecision
     missing: tuple[str, ...] = ()
